--- a/packages/kumquatfront/src/claims/claimClient.ts
+++ b/packages/kumquatfront/src/claims/claimClient.ts
@@ -1,6 +1,6 @@
 /**
- * Claims from an entry's side. Claims made within a few milliseconds travel together, so that one sync of
- * the log serves them all.
+ * Entry-side client for claims. Claims made within the batch window are sent in one request, so that control commits
+ * them with a single log sync.
  */
 import type * as agreedState from '../agreedState/types.js';
 import type * as controlClient from '../controlClient/controlClient.js';
@@ -11,28 +11,29 @@
 
 /** Times in milliseconds. */
 export interface ClaimClientSettings {
+  /** Time for which claims are collected before a batch is sent. */
   readonly batchWindow: number;
-  /** Time within which a claim must be committed; afterwards the call is refused as not run. */
+  /** Time within which a claim must be committed; after that the call is refused as not run. */
   readonly claimDeadline: number;
-  /** Time for which the outcome is offered to control. */
+  /** Time for which recording an outcome is retried. */
   readonly settleDeadline: number;
 }
 
-type ClaimDone = (result: results.Result<agreedState.ClaimAnswer, failures.Failure>) => void;
+type ClaimCallback = (result: results.Result<agreedState.ClaimAnswer, failures.Failure>) => void;
 
-interface WaitingClaim {
+interface PendingClaim {
   readonly command: agreedState.ClaimCommand;
-  readonly done: ClaimDone;
+  readonly done: ClaimCallback;
 }
 
 const BATCH_LIMIT = 64;
 
-/** The client; see the module comment. */
+/** Batches claims and records their outcomes. */
 export class ClaimClient {
   private readonly control: controlClient.ControlClient;
   private readonly timers: timerService.TimerService;
   private readonly settings: ClaimClientSettings;
-  private waiting: WaitingClaim[] = [];
+  private pending: PendingClaim[] = [];
 
   constructor(
     control: controlClient.ControlClient,
@@ -44,12 +45,12 @@
     this.settings = settings;
   }
 
-  /** Claims; `done` gets the answer, or a failure after which the caller may be told that nothing was run. */
-  claim(command: agreedState.ClaimCommand, done: ClaimDone): void {
-    this.waiting.push({ command, done });
-    if (this.waiting.length >= BATCH_LIMIT) {
+  /** Queues a claim; a failure passed to `done` means that the call was not run and never will be. */
+  claim(command: agreedState.ClaimCommand, done: ClaimCallback): void {
+    this.pending.push({ command, done });
+    if (this.pending.length >= BATCH_LIMIT) {
       this.flush();
-    } else if (this.waiting.length === 1) {
+    } else if (this.pending.length === 1) {
       this.timers.after(this.settings.batchWindow, () => {
         this.flush();
       });
@@ -57,41 +58,41 @@
   }
 
   private flush(): void {
-    const batch = this.waiting;
-    this.waiting = [];
+    const batch = this.pending;
+    this.pending = [];
     if (batch.length === 0) {
       return;
     }
-    const request: methods.ClaimsRequest = { claims: batch.map((waiting) => waiting.command) };
+    const request: methods.ClaimsRequest = { claims: batch.map((pending) => pending.command) };
     this.control.callLeader(methods.methods.claims, request, this.settings.claimDeadline, (result) => {
-      for (const [position, waiting] of batch.entries()) {
-        this.finish(waiting, position, result);
+      for (const [index, pending] of batch.entries()) {
+        this.complete(pending, index, result);
       }
     });
   }
 
-  private finish(
-    waiting: WaitingClaim,
-    position: number,
+  private complete(
+    pending: PendingClaim,
+    index: number,
     result: results.Result<unknown, failures.Failure>,
   ): void {
     if (result.ok) {
-      const answer = (result.val as methods.ClaimsAnswer).answers[position];
+      const answer = (result.val as methods.ClaimsAnswer).answers[index];
       if (answer !== undefined) {
-        waiting.done(results.Ok(answer));
+        pending.done(results.Ok(answer));
         return;
       }
     }
-    // The claim may be committed though its answer was lost. It was not dispatched and never will be, so
-    // control is told that this attempt is void; the caller's next try can then be granted.
-    const { account, key, attempt } = waiting.command;
+    // The claim may have been committed although the response was lost. Since the call is never dispatched, the
+    // attempt is settled as not run, so that the caller's next attempt can be granted.
+    const { account, key, attempt } = pending.command;
     this.settle({ type: 'settleClaim', account, key, attempt, result: 'notRun', outcome: null });
     if (result.err) {
-      waiting.done(result);
+      pending.done(result);
     }
   }
 
-  /** Records what became of a claimed call; repeats it until control has it or the deadline ends. */
+  /** Records the outcome of a claimed call, with retries until control confirms it or the deadline expires. */
   settle(command: agreedState.SettleClaimCommand, done: (recorded: boolean) => void = () => undefined): void {
     this.control.callLeader(methods.methods.settleClaim, command, this.settings.settleDeadline, (result) => {
       done(result.ok);
--- a/packages/kumquatfront/src/estimates/lengthEstimator.ts
+++ b/packages/kumquatfront/src/estimates/lengthEstimator.ts
@@ -1,6 +1,6 @@
 /**
- * On-line estimates of output length. Each key keeps a histogram over logarithmic buckets whose old counts
- * fade; a key that has seen too little answers with what its parent knows, down to a prior.
+ * Online estimation of output lengths. Each key has a histogram with logarithmic buckets and exponential decay. A key
+ * with too few observations falls back to less specific keys and finally to a prior.
  */
 
 /** Keys from the most to the least specific, such as account, model and traffic. */
@@ -8,55 +8,56 @@
 
 /** Settings of the estimator. */
 export interface LengthEstimatorSettings {
-  /** Observations a key needs before its own histogram is used. */
-  readonly minimumCount: number;
-  /** Weight an old observation keeps when a new one arrives, below 1. */
-  readonly fading: number;
-  /** Keys remembered at most; the one unused for longest goes first. */
+  /** Observations required before the histogram of a key is used. */
+  readonly minimumObservations: number;
+  /** Factor below 1 by which each new observation reduces the weight of the previous ones. */
+  readonly decayFactor: number;
+  /** Maximum number of keys; the least recently updated one is evicted first. */
   readonly maximumKeys: number;
 }
 
-/** Settings that suit a day's mix of traffic. */
+/** Default settings. */
 export const defaultSettings: LengthEstimatorSettings = {
-  minimumCount: 8,
-  fading: 0.999,
+  minimumObservations: 8,
+  decayFactor: 0.999,
   maximumKeys: 20_000,
 };
 
 const BUCKETS_PER_DOUBLING = 3;
 const BUCKET_COUNT = 52;
-/** Prior: most outputs are a few hundred tokens, some are thousands. */
-const PRIOR_MEDIAN_BUCKET = 24;
+/** Bucket at which the prior peaks: a few hundred tokens. */
+const PRIOR_MODE_BUCKET = 24;
 
-/** Steps after which half of the generations that are longer than any seen are taken to have ended. */
-const UNKNOWN_HALF_LIFE = 500;
+/** Steps after which half of the generations longer than any observed are assumed to have ended. */
+const UNSEEN_LENGTH_HALF_LIFE = 500;
 
 interface Histogram {
   readonly counts: Float64Array;
-  /** Weight of each bucket and all above it; made anew when it is first needed after an observation. */
-  readonly tails: Float64Array;
+  /** Cumulative weight of each bucket and all above it; recomputed on demand after an observation. */
+  readonly tailWeights: Float64Array;
   total: number;
-  tailsAreCurrent: boolean;
+  tailsValid: boolean;
 }
 
 function createHistogram(): Histogram {
   return {
     counts: new Float64Array(BUCKET_COUNT),
-    tails: new Float64Array(BUCKET_COUNT + 1),
+    tailWeights: new Float64Array(BUCKET_COUNT + 1),
     total: 0,
-    tailsAreCurrent: false,
+    tailsValid: false,
   };
 }
 
-/** Weight of the observations in a bucket and above. */
-function tailOf(histogram: Histogram, bucket: number): number {
-  if (!histogram.tailsAreCurrent) {
+/** Cumulative weight of a bucket and all above it. */
+function tailWeight(histogram: Histogram, bucket: number): number {
+  if (!histogram.tailsValid) {
     for (let position = BUCKET_COUNT - 1; position >= 0; position -= 1) {
-      histogram.tails[position] = (histogram.tails[position + 1] ?? 0) + (histogram.counts[position] ?? 0);
+      histogram.tailWeights[position] =
+        (histogram.tailWeights[position + 1] ?? 0) + (histogram.counts[position] ?? 0);
     }
-    histogram.tailsAreCurrent = true;
+    histogram.tailsValid = true;
   }
-  return histogram.tails[bucket] ?? 0;
+  return histogram.tailWeights[bucket] ?? 0;
 }
 
 function bucketOf(length: number): number {
@@ -76,32 +77,32 @@
 function createPrior(): Histogram {
   const prior = createHistogram();
   for (let bucket = 0; bucket < BUCKET_COUNT; bucket += 1) {
-    prior.counts[bucket] = Math.exp(-(((bucket - PRIOR_MEDIAN_BUCKET) / 8) ** 2));
+    prior.counts[bucket] = Math.exp(-(((bucket - PRIOR_MODE_BUCKET) / 8) ** 2));
   }
-  prior.total = tailOf(prior, 0);
+  prior.total = tailWeight(prior, 0);
   return prior;
 }
 
 function conditionalQuantile(histogram: Histogram, produced: number, quantile: number): number | undefined {
   const first = bucketOf(produced + 1);
-  const tail = tailOf(histogram, first);
+  const tail = tailWeight(histogram, first);
   if (tail < 0.5) {
     return undefined;
   }
-  let seen = 0;
+  let cumulative = 0;
   for (let bucket = first; bucket < BUCKET_COUNT; bucket += 1) {
-    seen += histogram.counts[bucket] ?? 0;
-    if (seen >= tail * quantile) {
+    cumulative += histogram.counts[bucket] ?? 0;
+    if (cumulative >= tail * quantile) {
       return Math.max(produced + 1, upperEdge(bucket));
     }
   }
   return undefined;
 }
 
-/** Weight of observations longer than `length`; within a bucket they are taken as spread evenly. */
-function weightBeyond(histogram: Histogram, length: number): number {
+/** Weight of observations longer than `length`, assuming a uniform distribution within a bucket. */
+function weightAbove(histogram: Histogram, length: number): number {
   const first = bucketOf(length + 1);
-  const weight = tailOf(histogram, first + 1);
+  const weight = tailWeight(histogram, first + 1);
   const lower = first === 0 ? 0 : upperEdge(first - 1);
   const upper = upperEdge(first);
   const share = Math.min(1, Math.max(0, (upper - length) / Math.max(1, upper - lower)));
@@ -127,7 +128,7 @@
     this.settings = settings;
   }
 
-  /** Learns the final length of a generation under all its keys. */
+  /** Records the final length of a generation for all its keys. */
   observe(keys: EstimateKeys, length: number): void {
     for (const key of keys) {
       this.observeKey(key, length);
@@ -137,18 +138,18 @@
   private observeKey(key: string, length: number): void {
     const histogram = this.histograms.get(key) ?? createHistogram();
     for (let bucket = 0; bucket < BUCKET_COUNT; bucket += 1) {
-      histogram.counts[bucket] = (histogram.counts[bucket] ?? 0) * this.settings.fading;
+      histogram.counts[bucket] = (histogram.counts[bucket] ?? 0) * this.settings.decayFactor;
     }
     const bucket = bucketOf(length);
     histogram.counts[bucket] = (histogram.counts[bucket] ?? 0) + 1;
-    histogram.total = histogram.total * this.settings.fading + 1;
-    histogram.tailsAreCurrent = false;
+    histogram.total = histogram.total * this.settings.decayFactor + 1;
+    histogram.tailsValid = false;
     this.histograms.delete(key);
     this.histograms.set(key, histogram);
-    this.forgetOldest();
+    this.evictOldest();
   }
 
-  private forgetOldest(): void {
+  private evictOldest(): void {
     if (this.histograms.size <= this.settings.maximumKeys) {
       return;
     }
@@ -159,13 +160,12 @@
   }
 
   /**
-   * Final length that a share `quantile` of comparable generations stays under, given that `produced`
-   * tokens exist already. A generation that outlived its estimate is judged by those that did so before.
+   * Quantile of the final length, conditional on `produced` tokens: only observations longer than that are used.
    */
   quantile(keys: EstimateKeys, produced: number, quantile: number): number {
     for (const key of keys) {
       const histogram = this.histograms.get(key);
-      if (histogram !== undefined && histogram.total >= this.settings.minimumCount) {
+      if (histogram !== undefined && histogram.total >= this.settings.minimumObservations) {
         const value = conditionalQuantile(histogram, produced, quantile);
         if (value !== undefined) {
           return value;
@@ -175,22 +175,23 @@
     return conditionalQuantile(this.prior, produced, quantile) ?? produced * 2;
   }
 
-  /** Probability that a generation with `produced` tokens is still alive after each number of further steps. */
+  /** Probabilities that a generation with `produced` tokens is still running after each number of further steps. */
   survival(keys: EstimateKeys, produced: number, steps: readonly number[]): readonly number[] {
     const histogram = this.histogramFor(keys, produced);
-    const now = weightBeyond(histogram, produced);
-    if (now <= 0) {
-      return steps.map((step) => UNKNOWN_HALF_LIFE / (UNKNOWN_HALF_LIFE + step));
+    const currentWeight = weightAbove(histogram, produced);
+    if (currentWeight <= 0) {
+      return steps.map((step) => UNSEEN_LENGTH_HALF_LIFE / (UNSEEN_LENGTH_HALF_LIFE + step));
     }
-    return steps.map((step) => weightBeyond(histogram, produced + step) / now);
+    return steps.map((step) => weightAbove(histogram, produced + step) / currentWeight);
   }
 
-  /** The histogram of the most specific key that has seen enough generations as long as this one. */
+  /** Returns the histogram of the most specific key with enough observations, some of them longer than `produced`. */
   private histogramFor(keys: EstimateKeys, produced: number): Histogram {
     for (const key of keys) {
       const histogram = this.histograms.get(key);
-      const enough = histogram !== undefined && histogram.total >= this.settings.minimumCount;
-      if (enough && weightBeyond(histogram, produced) >= 0.5) {
+      const hasEnoughObservations =
+        histogram !== undefined && histogram.total >= this.settings.minimumObservations;
+      if (hasEnoughObservations && weightAbove(histogram, produced) >= 0.5) {
         return histogram;
       }
     }
--- a/packages/kumquatfront/src/placement/coordinator.spec.ts
+++ b/packages/kumquatfront/src/placement/coordinator.spec.ts
@@ -1,42 +1,43 @@
 /**
- * When a coordinator that takes over begins to place.
+ * Recovery of a new coordinator, and placement on cold engines.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
 
-import * as coordinatorBench from './coordinatorBench.js';
+import * as coordinatorTestHarness from './coordinatorTestHarness.js';
 
-// A leader has died and another replica coordinates. It knows what runs as soon as every entry has told it; callers
-// should not wait any longer than that.
-void test.test('a new coordinator places once every entry has reported', () => {
-  const bench = new coordinatorBench.CoordinatorBench(1, 1);
-  bench.report();
-  bench.ask('first');
-  bench.time.advance(100);
-  assert.equal(bench.stateOf('first'), 'placed');
+// Guards against delaying all requests for the maximum recovery time after a failover.
+void test.test('a new coordinator starts placing as soon as every entry has reported', () => {
+  const harness = new coordinatorTestHarness.CoordinatorTestHarness(1, 1);
+  harness.report();
+  harness.requestPlacement('first');
+  harness.time.advance(100);
+  assert.equal(harness.stateOf('first'), 'placed');
 });
 
-// One entry has not reported yet, and may run much on these engines. Placing now could fill them twice.
-void test.test('a new coordinator waits for an entry that has not reported, but not for ever', () => {
-  const bench = new coordinatorBench.CoordinatorBench(1, 1);
-  bench.entries = ['e', 'silent'];
-  bench.report();
-  bench.ask('first');
-  bench.time.advance(300);
-  assert.equal(bench.stateOf('first'), 'waiting');
-  bench.time.advance(200);
-  assert.equal(bench.stateOf('first'), 'placed');
-});
+// Guards against overcommitting engines that run generations of an entry that has not reported yet.
+void test.test(
+  'a new coordinator waits for an entry that has not reported, up to the maximum recovery time',
+  () => {
+    const harness = new coordinatorTestHarness.CoordinatorTestHarness(1, 1);
+    harness.entries = ['e', 'silent'];
+    harness.report();
+    harness.requestPlacement('first');
+    harness.time.advance(300);
+    assert.equal(harness.stateOf('first'), 'waiting');
+    harness.time.advance(200);
+    assert.equal(harness.stateOf('first'), 'placed');
+  },
+);
 
-// An engine comes back cold and empty beside a full one: it looks like the best place for all that waits. Sent at once
-// they would run it down; one after another they find their places within seconds.
-void test.test('a cold engine gets what it tolerates in any second, and the rest as it warms up', () => {
-  const bench = new coordinatorBench.CoordinatorBench(0, 40);
-  bench.addEngine(coordinatorBench.WARM_UP.duration);
-  bench.begin();
+// Guards against overloading a cold engine, which has the most free memory, with all queued requests at once.
+void test.test('starts on a cold engine are limited per second', () => {
+  const harness = new coordinatorTestHarness.CoordinatorTestHarness(0, 40);
+  harness.addEngine(coordinatorTestHarness.WARM_UP.duration);
+  harness.start();
   for (let index = 0; index < 20; index += 1) {
-    bench.ask(`g${index}`, `g${index}`, 0);
+    harness.requestPlacement(`g${index}`, `g${index}`, 0);
   }
-  bench.pass(500);
-  assert.equal(bench.placedOn('i0'), 3);
+  harness.advance(500);
+  assert.equal(harness.placedCount('i0'), 3);
 });
--- a/packages/kumquatfront/src/placement/coordinator.ts
+++ b/packages/kumquatfront/src/placement/coordinator.ts
@@ -1,7 +1,7 @@
 /**
- * Places generations on engines for the whole system, and moves them off engines that leave. Every control
- * replica can do it; entries turn to the leader, or to one that all of them see where there is no leader. Its
- * state is soft: whoever takes over learns it from the entries' next reports. Two at once only place less well.
+ * Cluster-wide scheduler that places generations on engines and moves them off draining engines. Runs in every
+ * control replica; entries use the leader, or a replica reachable by all entries when there is no leader. State is
+ * rebuilt from the entries' reports after a failover; two active coordinators only make placement less efficient.
  */
 import type * as instanceTypes from '../instances/types.js';
 import type * as ports from '../kernel/ports.js';
@@ -13,77 +13,77 @@
 import * as mechanisms from './mechanisms.js';
 import * as placementQueue from './placementQueue.js';
 import * as ranks from './ranks.js';
-import * as returningCallers from './returningCallers.js';
+import * as retryTracker from './retryTracker.js';
 import * as timeliness from './timeliness.js';
 import type * as types from './types.js';
 import * as waitingRules from './waitingRules.js';
 
-/** How often places are offered anew; a step of an engine takes as long. */
-const PUMP_INTERVAL: ports.Milliseconds = 20;
+/** Interval of the scheduling loop: about one decoding step of an engine. */
+const TICK_INTERVAL: ports.Milliseconds = 20;
 
-/** How often the coordinator logs what it believes. */
-const STATE_INTERVAL: ports.Milliseconds = 1_000;
+/** Interval at which the coordinator logs its state. */
+const STATE_LOG_INTERVAL: ports.Milliseconds = 1_000;
 
 /**
- * A coordinator that is asked for the first time grants nothing until it knows what runs: until every entry that its
- * replica hears has reported, between these two bounds. Most report within a round trip of hearing of it; without
- * the early end every change of leader would keep all generations waiting for the longest time.
+ * Bounds of the recovery after a failover. Nothing is placed until all known entries have reported their running
+ * generations, so that engines are not overcommitted; an entry that does not report delays placement up to the maximum.
  */
-const LEAST_LEARNING: ports.Milliseconds = 60;
-const LONGEST_LEARNING: ports.Milliseconds = 450;
+const MINIMUM_RECOVERY_TIME: ports.Milliseconds = 60;
+const MAXIMUM_RECOVERY_TIME: ports.Milliseconds = 450;
 
-/** Without a report for this long nobody takes this replica for the coordinator. */
-const IDLE_AFTER: ports.Milliseconds = 1_500;
+/** Without requests or reports for this long, no entry uses this replica as the coordinator. */
+const IDLE_TIMEOUT: ports.Milliseconds = 1_500;
 
-/** The queue is offered places this often even where nothing changed. */
-const SERVE_INTERVAL: ports.Milliseconds = 100;
+/** Maximum time between two passes over the queue while nothing changes. */
+const DISPATCH_INTERVAL: ports.Milliseconds = 100;
 
-/** Longest time to come back that is told: a caller honours a third of its time left at most. */
-const LONGEST_RETRY_AFTER: ports.Milliseconds = 4_000;
+/** Upper bound of the `retryAfter` in refusals, since callers do not honour longer delays. */
+const MAXIMUM_RETRY_AFTER: ports.Milliseconds = 4_000;
 
-/** What the coordinator is made from. */
+/** Dependencies and settings of the coordinator. */
 export interface CoordinatorOptions {
   readonly timers: timerService.TimerService;
   readonly log: ports.Log;
   readonly metrics: ports.Metrics;
   readonly random: ports.Random;
-  /** The instances as this replica knows them. */
+  /** Instances known to this replica. */
   readonly instances: () => readonly instanceTypes.InstanceRecord[];
   readonly serviceOf: (name: string) => trafficTypes.Service | undefined;
-  /** True where the engines of a data centre are to get nothing new. */
+  /** True for a data centre whose engines must not receive new generations. */
   readonly isEvacuated: (dataCentre: string) => boolean;
-  /** How far all that send may pass what a cold engine tolerates. */
+  /** Permitted overshoot of the rate limit of cold engines. */
   readonly warmUpTolerance: warmUpBounds.WarmUpTolerance;
-  /** Names of the entries that this replica hears. */
+  /** Names of the entries known to this replica. */
   readonly entries: () => readonly string[];
-  readonly move: evacuation.EvacuationHost['move'];
-  /** Which mechanisms are in use; all of them where this is left out. */
+  /** Sends a move command to an entry. */
+  readonly move: evacuation.EvacuationOptions['move'];
+  /** Returns whether a placement feature is enabled; by default all are. */
   readonly isOn?: mechanisms.IsOn;
 }
 
-/** The coordinator; see the module comment. */
+/** Placement coordinator of one control replica. */
 export class Coordinator {
   private readonly options: CoordinatorOptions;
-  private readonly isOn: mechanisms.IsOn;
+  private readonly isEnabled: mechanisms.IsOn;
   private readonly pool: enginePool.EnginePool;
-  private readonly returning = new returningCallers.ReturningCallers();
+  private readonly retryTracker = new retryTracker.RetryTracker();
   private readonly queue = new placementQueue.PlacementQueue({
-    expectedOutput: (facts) => (this.isOn('shorterFirst') ? this.pool.lengths.expectedOutput(facts, 0) : 0),
-    timelinessOf: (waiting, now) => this.timelinessOf(waiting, now),
+    expectedOutput: (facts) => (this.isEnabled('shorterFirst') ? this.pool.lengths.totalOutput(facts, 0) : 0),
+    timelinessOf: (queued, now) => this.timelinessOf(queued, now),
   });
-  private readonly evacuation: evacuation.Evacuation;
+  private readonly evacuation: evacuation.EvacuationScheduler;
   private activeSince: number | undefined;
-  private askedAt = Number.NEGATIVE_INFINITY;
-  private servedAt = Number.NEGATIVE_INFINITY;
-  private changed = true;
-  /** Smoothed time between two grants of a service, for times to come back. */
-  private readonly grantGap = new Map<string, { at: number; gap: number }>();
+  private lastActivityAt = Number.NEGATIVE_INFINITY;
+  private lastDispatchAt = Number.NEGATIVE_INFINITY;
+  private stateChanged = true;
+  /** Moving average of the time between two grants, by service; used to estimate `retryAfter`. */
+  private readonly grantIntervals = new Map<string, { at: number; interval: number }>();
 
   constructor(options: CoordinatorOptions) {
     this.options = options;
-    this.isOn = options.isOn ?? mechanisms.allOn;
-    this.pool = new enginePool.EnginePool(this.isOn);
-    this.evacuation = new evacuation.Evacuation({
+    this.isEnabled = options.isOn ?? mechanisms.allOn;
+    this.pool = new enginePool.EnginePool(this.isEnabled);
+    this.evacuation = new evacuation.EvacuationScheduler({
       pool: this.pool,
       move: options.move,
       now: () => options.timers.now(),
@@ -91,13 +91,13 @@
       metrics: options.metrics,
     });
     options.timers.every(
-      () => PUMP_INTERVAL,
+      () => TICK_INTERVAL,
       () => {
-        this.pump();
+        this.tick();
       },
     );
     options.timers.every(
-      () => STATE_INTERVAL,
+      () => STATE_LOG_INTERVAL,
       () => {
         this.logState();
       },
@@ -108,7 +108,7 @@
     if (this.activeSince === undefined || (this.queue.size === 0 && this.pool.placedCount === 0)) {
       return;
     }
-    const loads = this.pool.describe();
+    const loads = this.pool.describeLoads();
     this.options.metrics.gauge('placement.waiting', this.queue.size);
     this.options.metrics.gauge('placement.running', this.pool.placedCount);
     this.options.log.info('coordinatorState', {
@@ -118,71 +118,74 @@
     });
   }
 
-  /** Asks for a place; the answer may come much later. */
-  place(request: types.PlacementRequest, answer: (answer: types.PlacementAnswer) => void): void {
+  /** Queues a placement request; `respond` is called once it is placed or refused. */
+  place(request: types.PlacementRequest, respond: (answer: types.PlacementAnswer) => void): void {
     const now = this.options.timers.now();
-    this.askedAt = now;
-    this.changed = true;
-    const known = this.pool.placedOf(request.facts.identity);
-    // The answer to an earlier question may have been lost; granting another engine would count it twice.
-    if (known !== undefined && !known.reported && !request.excluded.includes(known.running.instance)) {
-      answer({ state: 'placed', instance: known.running.instance });
+    this.lastActivityAt = now;
+    this.stateChanged = true;
+    const placed = this.pool.placedOf(request.facts.identity);
+    // The response to an earlier request may have been lost; a second grant would count the generation twice.
+    if (placed !== undefined && !placed.reported && !request.excluded.includes(placed.running.instance)) {
+      respond({ state: 'placed', instance: placed.running.instance });
       return;
     }
-    if (!this.queue.add(this.countedFromFirst(request, now), now, answer)) {
-      answer({ state: 'refused', retryAfter: LONGEST_RETRY_AFTER, reason: 'the queue is full' });
+    if (!this.queue.add(this.withOriginalDeadline(request, now), now, respond)) {
+      respond({ state: 'refused', retryAfter: MAXIMUM_RETRY_AFTER, reason: 'the queue is full' });
       return;
     }
-    this.pump();
+    this.tick();
   }
 
-  /** A caller that comes back has waited before; its objective counts from its first question. */
-  private countedFromFirst(request: types.PlacementRequest, now: number): types.PlacementRequest {
-    const firstAskedAt = this.returning.take(request.likeness, now);
-    if (firstAskedAt === undefined || !this.isOn('returningCallers')) {
+  /** For a retry, reduces the remaining objective by the time since the caller's first attempt. */
+  private withOriginalDeadline(request: types.PlacementRequest, now: number): types.PlacementRequest {
+    const firstRequestedAt = this.retryTracker.takeFirstRequestTime(request.likeness, now);
+    if (firstRequestedAt === undefined || !this.isEnabled('returningCallers')) {
       return request;
     }
-    const objectiveLeft = Math.min(request.objectiveLeft, firstAskedAt + request.objective - now);
+    const objectiveLeft = Math.min(request.objectiveLeft, firstRequestedAt + request.objective - now);
     this.options.log.info('callerReturned', {
       request: request.facts.identity,
-      firstAsked: Math.round(now - firstAskedAt),
+      firstAsked: Math.round(now - firstRequestedAt),
       objectiveLeft: Math.round(objectiveLeft),
     });
-    const returned = { ...request, objectiveLeft };
+    const retry = { ...request, objectiveLeft };
     const patient = ranks.isPatient(request.facts.rank);
-    const late = patient && this.timelinessOf({ request: returned, since: now }, now) === 'late';
-    return late ? { ...returned, patience: Math.min(request.patience, waitingRules.LATE_WAIT) } : returned;
+    const late = patient && this.timelinessOf({ request: retry, since: now }, now) === 'late';
+    return late ? { ...retry, patience: Math.min(request.patience, waitingRules.LATE_RETRY_WAIT) } : retry;
   }
 
   private timelinessOf(
-    waiting: Pick<placementQueue.Waiting, 'request' | 'since'>,
+    queued: Pick<placementQueue.QueuedRequest, 'request' | 'since'>,
     now: number,
   ): timeliness.Timeliness {
-    const { request, since } = waiting;
-    if (!this.isOn('lateLast')) {
+    const { request, since } = queued;
+    if (!this.isEnabled('lateLast')) {
       return 'inTime';
     }
-    const needed = this.pool.pace.timeToFirstEvent(request.facts.service, request.facts.promptTokens);
-    return timeliness.judge(request, now - since, needed);
+    const timeToFirstEvent = this.pool.prefillEstimator.timeToFirstEvent(
+      request.facts.service,
+      request.facts.promptTokens,
+    );
+    return timeliness.classify(request, now - since, timeToFirstEvent);
   }
 
-  /** Withdraws a question. */
+  /** Removes a request from the queue. */
   withdraw(identity: string): void {
     this.queue.remove(identity);
   }
 
-  /** Takes an entry's report in. */
+  /** Applies an entry's report of its running generations. */
   report(report: types.EntryReport): void {
     const now = this.options.timers.now();
-    this.askedAt = now;
-    this.changed = true;
-    this.pool.report(report, now);
+    this.lastActivityAt = now;
+    this.stateChanged = true;
+    this.pool.applyReport(report, now);
   }
 
-  /** Called when the instances changed, so that an evacuation starts at once. */
+  /** Reschedules after a change of the instances, so that moves off draining engines start immediately. */
   instancesChanged(): void {
-    this.changed = true;
-    this.pump();
+    this.stateChanged = true;
+    this.tick();
   }
 
   private refreshEngines(): void {
@@ -197,9 +200,11 @@
           identity: record.identity,
           service: record.service,
           dataCentre: record.dataCentre,
-          leaving: record.state === 'leaving',
+          draining: record.state === 'leaving',
           evacuated: isEvacuated(record.dataCentre),
-          ...(warmUp !== undefined && { tolerated: warmUpBounds.ofCoordinator(warmUp, warmUpTolerance) }),
+          ...(warmUp !== undefined && {
+            warmUpRateLimit: warmUpBounds.ofCoordinator(warmUp, warmUpTolerance),
+          }),
           traits: { ...traits, slots: record.slots > 0 ? record.slots : traits.slots },
         });
       }
@@ -207,69 +212,69 @@
     this.pool.setEngines(engines);
   }
 
-  private pump(): void {
+  private tick(): void {
     const now = this.options.timers.now();
-    if (now - this.askedAt > IDLE_AFTER) {
+    if (now - this.lastActivityAt > IDLE_TIMEOUT) {
       this.activeSince = undefined;
       return;
     }
     this.activeSince ??= now;
-    if (this.isLearning(now, this.activeSince)) {
+    if (this.isRecovering(now, this.activeSince)) {
       return;
     }
-    if (this.changed || now - this.servedAt >= SERVE_INTERVAL) {
-      this.changed = false;
-      this.servedAt = now;
+    if (this.stateChanged || now - this.lastDispatchAt >= DISPATCH_INTERVAL) {
+      this.stateChanged = false;
+      this.lastDispatchAt = now;
       this.refreshEngines();
-      this.pool.expire(now);
-      if (this.isOn('evacuation')) {
-        this.evacuation.pump();
+      this.pool.removeExpired(now);
+      if (this.isEnabled('evacuation')) {
+        this.evacuation.startMoves();
       }
-      this.queue.serve(now, (waiting) => this.tryPlace(waiting, now));
+      this.queue.dispatch(now, (queued) => this.tryPlace(queued, now));
     }
     for (const expired of this.queue.takeExpired(now)) {
       this.refuse(expired, 'no place came free in time');
     }
   }
 
-  private isLearning(now: number, since: number): boolean {
-    const taken = now - since;
-    if (taken < LEAST_LEARNING || taken >= LONGEST_LEARNING) {
-      return taken < LEAST_LEARNING;
+  private isRecovering(now: number, since: number): boolean {
+    const elapsed = now - since;
+    if (elapsed < MINIMUM_RECOVERY_TIME || elapsed >= MAXIMUM_RECOVERY_TIME) {
+      return elapsed < MINIMUM_RECOVERY_TIME;
     }
-    const entries = this.options.entries();
-    return entries.length === 0 || !entries.every((entry) => this.pool.hasHeardFrom(entry, since));
+    const entryNames = this.options.entries();
+    return entryNames.length === 0 || !entryNames.every((entry) => this.pool.hasReportedSince(entry, since));
   }
 
-  private refuse(waiting: placementQueue.Waiting, reason: string): void {
-    const { facts, likeness, objective, objectiveLeft } = waiting.request;
+  private refuse(queued: placementQueue.QueuedRequest, reason: string): void {
+    const { facts, likeness, objective, objectiveLeft } = queued.request;
     const retryAfter = this.retryAfter(facts.service);
     const now = this.options.timers.now();
-    this.returning.refused(likeness, waiting.since + objectiveLeft - objective, now);
+    this.retryTracker.recordRefusal(likeness, queued.since + objectiveLeft - objective, now);
     this.options.metrics.count('placement.answers', 1, { state: 'refused' });
     this.options.log.info('placementRefused', { request: facts.identity, reason, retryAfter });
-    waiting.answer({ state: 'refused', retryAfter, reason });
+    queued.respond({ state: 'refused', retryAfter, reason });
   }
 
-  /** From the rate at which places come free and the queue's length, spread so that callers do not return at once. */
+  /** Estimates the time to drain the queue of a service, with jitter so that callers do not retry simultaneously. */
   private retryAfter(service: string): number {
-    const gap = this.grantGap.get(service)?.gap ?? 100;
-    const drained = gap * (this.queue.waitingOf(service) + 1);
-    const spread = 1 + this.options.random.next() * 0.5;
-    return Math.round(Math.min(LONGEST_RETRY_AFTER, drained * spread));
+    const grantInterval = this.grantIntervals.get(service)?.interval ?? 100;
+    const drainTime = grantInterval * (this.queue.countForService(service) + 1);
+    const jitter = 1 + this.options.random.next() * 0.5;
+    return Math.round(Math.min(MAXIMUM_RETRY_AFTER, drainTime * jitter));
   }
 
-  private tryPlace(waiting: placementQueue.Waiting, now: number): boolean {
-    const { facts, dataCentre, excluded, objectiveLeft } = waiting.request;
-    const verdict = this.timelinessOf(waiting, now);
-    const engine = this.pool.bestFor(
+  private tryPlace(queued: placementQueue.QueuedRequest, now: number): boolean {
+    const { facts, dataCentre, excluded, objectiveLeft } = queued.request;
+    const deadlineStatus = this.timelinessOf(queued, now);
+    const engine = this.pool.selectEngine(
       {
         facts,
         produced: 0,
-        purpose: purposeOf(facts, verdict),
+        purpose: purposeOf(facts, deadlineStatus),
         dataCentre,
         excluded: new Set(excluded),
-        ...(verdict === 'inTime' && { firstEventWithin: objectiveLeft - (now - waiting.since) }),
+        ...(deadlineStatus === 'inTime' && { maximumTimeToFirstEvent: objectiveLeft - (now - queued.since) }),
       },
       now,
     );
@@ -277,31 +282,31 @@
       return false;
     }
     const placement = { instance: engine.identity };
-    this.pool.grant(waiting.request, placement, now);
-    this.noteGrant(facts.service, now);
+    this.pool.recordGrant(queued.request, placement, now);
+    this.recordGrantInterval(facts.service, now);
     this.options.metrics.count('placement.answers', 1, { state: 'placed' });
-    this.options.metrics.timing('placement.wait', now - waiting.since, { rank: String(facts.rank) });
+    this.options.metrics.timing('placement.wait', now - queued.since, { rank: String(facts.rank) });
     this.options.log.info('placed', {
       request: facts.identity,
-      entry: waiting.request.entry,
+      entry: queued.request.entry,
       engine: engine.identity,
-      waited: Math.round(now - waiting.since),
+      waited: Math.round(now - queued.since),
       waiting: this.queue.size,
     });
-    waiting.answer({ state: 'placed', ...placement });
+    queued.respond({ state: 'placed', ...placement });
     return true;
   }
 
-  private noteGrant(service: string, now: number): void {
-    const known = this.grantGap.get(service);
-    const gap = known === undefined ? 100 : 0.9 * known.gap + 0.1 * (now - known.at);
-    this.grantGap.set(service, { at: now, gap });
+  private recordGrantInterval(service: string, now: number): void {
+    const previous = this.grantIntervals.get(service);
+    const interval = previous === undefined ? 100 : 0.9 * previous.interval + 0.1 * (now - previous.at);
+    this.grantIntervals.set(service, { at: now, interval });
   }
 }
 
-function purposeOf(facts: types.GenerationFacts, verdict: timeliness.Timeliness): enginePool.Purpose {
+function purposeOf(facts: types.GenerationFacts, deadlineStatus: timeliness.Timeliness): enginePool.Purpose {
   if (!ranks.isPatient(facts.rank)) {
     return 'urgent';
   }
-  return verdict === 'late' ? 'late' : 'patient';
+  return deadlineStatus === 'late' ? 'late' : 'patient';
 }
--- a/packages/kumquatfront/src/placement/coordinatorBench.ts
+++ b/packages/kumquatfront/src/placement/coordinatorTestHarness.ts
@@ -1,6 +1,5 @@
 /**
- * A coordinator over engines in memory, on virtual time, for the specs. Prompts and objectives are those of the
- * first users' sites.
+ * Test harness with a coordinator, simulated engines and one entry on virtual time.
  */
 import * as seededRandom from '../adapters/seededRandom.js';
 import type * as instanceTypes from '../instances/types.js';
@@ -14,33 +13,37 @@
 import type * as types from './types.js';
 import * as waitingRules from './waitingRules.js';
 
-/** Milliseconds to the first event that callers expect. */
+/** Objective for the time to the first event, in milliseconds. */
 export const OBJECTIVE = 1_800;
 const PROMPT = 3_000;
 const ENTRY = 'e';
 const REPORT_INTERVAL = 250;
 
-/** What cold engines of the bench tolerate. */
+/** Warm-up limits of cold engines in the harness. */
 export const WARM_UP: warmUpBounds.WarmUp = { requestsPerSecond: 10, duration: 5_000 };
 
-/** A coordinator over engines with memory for `fits` generations each. */
-export class CoordinatorBench {
-  /** Entries that the coordinator's replica hears. */
+/** Runs a coordinator over engines with memory for `generationsPerEngine` generations each. */
+export class CoordinatorTestHarness {
+  /** Entries known to the coordinator. */
   entries: readonly string[] = [ENTRY];
   readonly time = new virtualTime.VirtualTime();
   readonly answers = new Map<string, types.PlacementAnswer & { readonly at: number }>();
-  private readonly placer: coordinator.Coordinator;
+  private readonly coordinator: coordinator.Coordinator;
   private readonly running: types.RunningGeneration[] = [];
   private readonly instances: instanceTypes.InstanceRecord[] = [];
-  /** Data centres whose engines are to get nothing new. */
+  /** Evacuated data centres. */
   readonly evacuated = new Set<string>();
   private sequence = 0;
 
-  constructor(engineCount: number, fits: number, isOn: mechanisms.IsOn = mechanisms.allOn) {
-    const silent = (): void => undefined;
+  constructor(
+    engineCount: number,
+    generationsPerEngine: number,
+    isEnabled: mechanisms.IsOn = mechanisms.allOn,
+  ) {
+    const noop = (): void => undefined;
     const engine: trafficTypes.EngineTraits = {
       slots: 24,
-      memoryTokens: Math.round((fits * (PROMPT + 600)) / enginePool.MEMORY_SHARES.patient),
+      memoryTokens: Math.round((generationsPerEngine * (PROMPT + 600)) / enginePool.MEMORY_LIMITS.patient),
       bytesPerToken: 1,
       linkMegabitsPerSecond: 1,
       migrations: false,
@@ -50,28 +53,29 @@
     for (let count = 0; count < engineCount; count += 1) {
       this.addEngine();
     }
-    this.placer = new coordinator.Coordinator({
+    this.coordinator = new coordinator.Coordinator({
       timers: timerService.create(this.time.clock, this.time),
-      log: { debug: silent, info: silent, warn: silent, error: silent },
-      metrics: { count: silent, gauge: silent, timing: silent },
+      log: { debug: noop, info: noop, warn: noop, error: noop },
+      metrics: { count: noop, gauge: noop, timing: noop },
       random: seededRandom.create(1),
       instances: () => this.instances,
       warmUpTolerance: warmUpBounds.strictTolerance,
       isEvacuated: (dataCentre) => this.evacuated.has(dataCentre),
       serviceOf: () => ({ name: 'llm', maximumConnections: 100, warmUp: WARM_UP, engine }),
       entries: () => this.entries,
-      move: silent,
-      isOn,
+      move: noop,
+      isOn: isEnabled,
     });
   }
 
-  /** The entry reports, and the coordinator has learned what runs. */
-  begin(): this {
+  /** Sends the first report and waits until the coordinator has recovered. */
+  start(): this {
     this.report();
-    this.pass(500);
+    this.advance(500);
     return this;
   }
 
+  /** Adds an engine, which is cold if `warmUpLeft` is above 0. */
   addEngine(warmUpLeft = 0): void {
     const index = this.instances.length;
     this.instances.push({
@@ -80,16 +84,17 @@
     });
   }
 
+  /** Sends the entry's report. */
   report(): void {
     this.sequence += 1;
-    this.placer.report({
+    this.coordinator.report({
       ...{ entry: ENTRY, address: 'e:1', epoch: 'x', sequence: this.sequence, leaving: [], unlisted: [] },
       ...{ generations: this.running, finished: [] },
     });
   }
 
-  /** Time goes on, and the entry reports that everything placed has begun. */
-  pass(duration: number): void {
+  /** Advances the time while the entry reports all placed generations as started. */
+  advance(duration: number): void {
     for (let left = duration; left > 0; left -= REPORT_INTERVAL) {
       this.time.advance(Math.min(left, REPORT_INTERVAL));
       this.running.splice(0, this.running.length, ...this.running.map((run) => ({ ...run, started: true })));
@@ -97,7 +102,8 @@
     }
   }
 
-  end(identity: string): void {
+  /** Completes a generation. */
+  finish(identity: string): void {
     this.running.splice(
       this.running.findIndex((run) => run.facts.identity === identity),
       1,
@@ -105,15 +111,16 @@
     this.report();
   }
 
-  ask(identity: string, likeness = identity, rank = 1): void {
+  /** Requests a placement; requests with the same fingerprint are retries. */
+  requestPlacement(identity: string, fingerprint = identity, rank = 1): void {
     const facts: types.GenerationFacts = {
       ...{ identity, service: 'llm', promptTokens: PROMPT, outputLimit: 600, lengthHint: 600 },
       ...{ rank, account: '' },
     };
     const patience = waitingRules.longestWait(OBJECTIVE, 39_000, rank);
     const times = { objective: OBJECTIVE, objectiveLeft: OBJECTIVE, patience };
-    this.placer.place(
-      { facts, entry: ENTRY, dataCentre: 'a', excluded: [], likeness, ...times },
+    this.coordinator.place(
+      { facts, entry: ENTRY, dataCentre: 'a', excluded: [], likeness: fingerprint, ...times },
       (answer) => {
         this.answers.set(identity, { ...answer, at: this.time.now() });
         if (answer.state === 'placed') {
@@ -123,12 +130,13 @@
     );
   }
 
-  /** Generations that were placed on an engine. */
-  placedOn(engine: string): number {
+  /** Number of generations placed on an engine. */
+  placedCount(engine: string): number {
     const answers = [...this.answers.values()];
     return answers.filter((answer) => answer.state === 'placed' && answer.instance === engine).length;
   }
 
+  /** State of a request: `placed`, `refused` or `waiting`. */
   stateOf(identity: string): string {
     return this.answers.get(identity)?.state ?? 'waiting';
   }
--- a/packages/kumquatfront/src/placement/enginePool.spec.ts
+++ b/packages/kumquatfront/src/placement/enginePool.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Which of several engines gets a generation.
+ * Engine selection.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -7,7 +7,7 @@
 import * as enginePool from './enginePool.js';
 import type * as types from './types.js';
 
-const MEMORY = 20_000;
+const MEMORY_TOKENS = 20_000;
 
 function factsOf(identity: string, promptTokens: number): types.GenerationFacts {
   return {
@@ -15,14 +15,14 @@
   };
 }
 
-/** Two engines that hold as many tokens as given. */
-function poolWith(onFirst: number, onSecond: number): enginePool.EnginePool {
+/** Creates a pool of two engines that hold the given numbers of tokens. */
+function createPool(onFirst: number, onSecond: number): enginePool.EnginePool {
   const pool = new enginePool.EnginePool();
   const traits = {
-    ...{ slots: 24, memoryTokens: MEMORY, bytesPerToken: 1, linkMegabitsPerSecond: 1 },
+    ...{ slots: 24, memoryTokens: MEMORY_TOKENS, bytesPerToken: 1, linkMegabitsPerSecond: 1 },
     ...{ migrations: true, backups: false, tokensPerEvent: 4 },
   };
-  const base = { service: 'llm', dataCentre: 'a', leaving: false, evacuated: false, traits };
+  const base = { service: 'llm', dataCentre: 'a', draining: false, evacuated: false, traits };
   pool.setEngines([
     { ...base, identity: 'first' },
     { ...base, identity: 'second' },
@@ -30,7 +30,7 @@
   const running = (identity: string, tokens: number): types.RunningGeneration => ({
     ...{ facts: factsOf(identity, tokens), instance: identity, produced: 0, started: true },
   });
-  pool.report(
+  pool.applyReport(
     {
       ...{ entry: 'e', address: 'e:1', epoch: 'x', sequence: 1, finished: [], leaving: [], unlisted: [] },
       generations: [running('first', onFirst), running('second', onSecond)],
@@ -40,18 +40,18 @@
   return pool;
 }
 
-function bestFor(pool: enginePool.EnginePool, promptTokens: number): string | undefined {
+function selectEngine(pool: enginePool.EnginePool, promptTokens: number): string | undefined {
   const facts = factsOf('new', promptTokens);
-  const search = {
+  const query = {
     facts,
     produced: 0,
     purpose: 'patient',
     dataCentre: 'b',
     excluded: new Set<string>(),
   } as const;
-  return pool.bestFor(search, 0)?.identity;
+  return pool.selectEngine(query, 0)?.identity;
 }
 
-void test.test('with room to spare the emptier engine gets a generation', () => {
-  assert.equal(bestFor(poolWith(6_000, 3_000), 1_000), 'second');
+void test.test('the engine with more free memory is selected', () => {
+  assert.equal(selectEngine(createPool(6_000, 3_000), 1_000), 'second');
 });
--- a/packages/kumquatfront/src/placement/enginePool.ts
+++ b/packages/kumquatfront/src/placement/enginePool.ts
@@ -1,10 +1,7 @@
 /**
- * What the coordinator believes of each engine: which generations run there, what memory they are forecast
- * to need, and whether one more fits.
- *
- * Pattern: long generations that fill the memory of an engine together are preempted, read again, and late.
- * A bound on the forecast keeps them in the queue instead. Grounds: on the sites of the first users a bound
- * for patient work does away with preemptions; without it there are 20 to 200 in half a minute.
+ * The coordinator's model of the engines: which generations run on each, how much memory they are forecast to need,
+ * and which engine is best for another one. Limiting the forecast prevents engines from running out of memory and
+ * preempting generations, whose prompts would have to be processed again.
  */
 import type * as ports from '../kernel/ports.js';
 import * as residency from '../traffic/residency.js';
@@ -14,110 +11,109 @@
 import * as lengthForecast from './lengthForecast.js';
 import * as mechanisms from './mechanisms.js';
 import * as memoryPeak from './memoryPeak.js';
-import * as readingPace from './readingPace.js';
+import * as prefillEstimator from './prefillEstimator.js';
 import type * as types from './types.js';
 
-/** What a place is wanted for; each has a bound of its own on the share of memory that is forecast to fill. */
+/** Class of a placement; each has its own limit in `MEMORY_LIMITS`. */
 export type Purpose = 'patient' | 'late' | 'urgent' | 'move';
 
 /**
- * Shares of an engine's memory. Urgent generations are short: what counts for them is the memory that is held
- * until they end, not the peak that the long ones reach seconds later. Patient ones leave room for what moves off
- * engines that leave. Late ones earn a seventh of the others, so they get what nobody in time is about to need.
+ * Share of an engine's memory up to which each class may fill it. For urgent generations, which are short, the memory
+ * in use when they end counts; for all others the forecast peak. Patient ones leave free memory for moves from
+ * draining engines, and late ones leave free memory for those that can still meet their objective.
  */
-export const MEMORY_SHARES: Readonly<Record<Purpose, number>> = {
+export const MEMORY_LIMITS: Readonly<Record<Purpose, number>> = {
   patient: 0.9,
   late: 0.4,
   urgent: 0.97,
   move: 0.95,
 };
 
-/** Slots that patient generations leave free, so that an urgent one starts at once. */
-const SLOTS_KEPT_FREE = 2;
+/** Slots reserved for urgent generations. */
+const RESERVED_SLOTS = 2;
 
-/** Time for which a grant counts without being reported: two reports and a round trip. */
-const GRANT_HOLDS: ports.Milliseconds = 900;
+/** Time after which a grant that no report confirms is dropped: two report intervals and a round trip. */
+const UNREPORTED_GRANT_TIMEOUT: ports.Milliseconds = 900;
 
-/** An entry whose reports stop for this long is dead, and what it ran was cancelled with its connections. */
+/** Time without a report after which an entry counts as crashed and its generations as cancelled. */
 const REPORT_LEASE: ports.Milliseconds = 2_500;
 
-/** Being in the wanted data centre, as share of an engine's memory. */
+/** Score bonus of engines in the preferred data centre, as share of memory. */
 const SAME_DATA_CENTRE_BONUS = 0.05;
 
-/** An engine as the coordinator sees it. */
+/** An engine that generations can be placed on. */
 export interface Engine {
   readonly identity: string;
   readonly service: string;
   readonly dataCentre: string;
-  readonly leaving: boolean;
-  /** True where its data centre is evacuated: what runs there goes on, and nothing else is placed there. */
+  /** True after a termination notice: nothing is placed on it, and its generations are moved. */
+  readonly draining: boolean;
+  /** True if its data centre is evacuated: running generations continue, and nothing else is placed on it. */
   readonly evacuated: boolean;
-  /** Generations that may be placed on it in any second; left out where it is warm. */
-  readonly tolerated?: number;
+  /** Generations that may be started on it per second while it warms up; absent when it is warm. */
+  readonly warmUpRateLimit?: number;
   readonly traits: trafficTypes.EngineTraits;
 }
 
-/** A generation that is placed, with the entry that serves it. */
-export interface Placed {
+/** A placed generation and the entry that serves it. */
+export interface PlacedGeneration {
   readonly running: types.RunningGeneration;
   readonly entry: string;
   readonly grantedAt: ports.Milliseconds;
-  /** When the generation was placed or first reported. */
-  readonly beganAt: ports.Milliseconds;
+  /** Time of the placement, or of the first report if the coordinator did not place it. */
+  readonly placedAt: ports.Milliseconds;
   readonly reported: boolean;
-  /** Prompt tokens that had to be read before its first event when it was placed, its own among them. */
-  readonly toRead: number;
+  /** Prompt tokens that the engine had to process before the first event, including its own prompt. */
+  readonly prefillTokens: number;
 }
 
-interface KnownEntry {
+interface EntryState {
   readonly address: string;
   readonly epoch: string;
   readonly sequence: number;
-  readonly heardAt: ports.Milliseconds;
+  readonly lastReportAt: ports.Milliseconds;
 }
 
-/** What is sought. */
-export interface Search {
+/** Criteria for selecting an engine. */
+export interface EngineQuery {
   readonly facts: types.GenerationFacts;
   readonly produced: number;
   readonly purpose: Purpose;
   readonly dataCentre: string;
   readonly excluded: ReadonlySet<string>;
-  /** What being in the data centre is worth, as share of memory. */
-  readonly nearBonus?: number;
-  /** Engines that would need longer than this to the first event are left out. */
-  readonly firstEventWithin?: ports.Milliseconds;
+  /** Score bonus of engines in `dataCentre`, as share of memory. */
+  readonly localityBonus?: number;
+  /** Engines with a longer estimated time to the first event are excluded. */
+  readonly maximumTimeToFirstEvent?: ports.Milliseconds;
 }
 
 /**
- * Time to the first event counts against an engine like this share of its memory a millisecond: half a second, one
- * long prompt, like a quarter. So an engine that has just started, with its memory empty, gets one prompt after
- * another and not all that come. Three times as much leaves generations unevenly spread: on a quiet day of the
- * users' first site three or four were lost with engines that held more than could be moved off them, one otherwise.
+ * Score penalty per millisecond to the first event, as share of memory. Without it, an engine that has just started
+ * with empty memory would receive all new prompts and delay them.
  */
-const SHARE_FOR_MILLISECOND = 0.25 / 500;
+const FIRST_EVENT_DELAY_WEIGHT = 0.25 / 500;
 
-/** A prompt counts as read after this long where no report has said so: its entry may be gone. */
-const READ_AFTER: ports.Milliseconds = 3_000;
+/** Time after which a prompt counts as processed even if no report confirms it, since its entry may have crashed. */
+const PREFILL_TIMEOUT: ports.Milliseconds = 3_000;
 
-const EMPTY: readonly memoryPeak.Growth[] = [];
+const NO_GENERATIONS: readonly memoryPeak.GenerationMemory[] = [];
 
-/** The pool; see the module comment. */
+/** Engines, the generations placed on them, and their forecast load. */
 export class EnginePool {
   readonly lengths = new lengthForecast.LengthForecast();
-  readonly pace = new readingPace.ReadingPace();
-  private readonly isOn: mechanisms.IsOn;
+  readonly prefillEstimator = new prefillEstimator.PrefillEstimator();
+  private readonly isEnabled: mechanisms.IsOn;
   private engines = new Map<string, Engine>();
-  private readonly placed = new Map<string, Placed>();
-  private readonly entries = new Map<string, KnownEntry>();
-  /** Generations that are being moved, with their targets: memory there that no report shows yet. */
-  private readonly incoming = new Map<string, string>();
-  /** Generations that were placed on each engine or moved there. */
-  private readonly sent = new recentCount.RecentCount(warmUpBounds.COLD_WINDOW);
-  private loads: Map<string, memoryPeak.Growth[]> | undefined;
-
-  constructor(isOn: mechanisms.IsOn = mechanisms.allOn) {
-    this.isOn = isOn;
+  private readonly placed = new Map<string, PlacedGeneration>();
+  private readonly entries = new Map<string, EntryState>();
+  /** Target engine of each generation being moved; reports do not include its memory there yet. */
+  private readonly moveTargets = new Map<string, string>();
+  /** Recent starts on each engine, by placement or move. */
+  private readonly recentStarts = new recentCount.RecentCount(warmUpBounds.COLD_WINDOW);
+  private loads: Map<string, memoryPeak.GenerationMemory[]> | undefined;
+
+  constructor(isEnabled: mechanisms.IsOn = mechanisms.allOn) {
+    this.isEnabled = isEnabled;
   }
 
   setEngines(engines: readonly Engine[]): void {
@@ -132,83 +128,88 @@
     return this.entries.get(entry)?.address;
   }
 
-  /** True where an entry has reported since a moment. */
-  hasHeardFrom(entry: string, since: number): boolean {
-    return (this.entries.get(entry)?.heardAt ?? Number.NEGATIVE_INFINITY) >= since;
+  /** True if the entry has reported at or after `since`. */
+  hasReportedSince(entry: string, since: number): boolean {
+    return (this.entries.get(entry)?.lastReportAt ?? Number.NEGATIVE_INFINITY) >= since;
   }
 
-  /** Replaces what an entry has running by its newest report. */
-  report(report: types.EntryReport, now: number): void {
+  /** Replaces the running generations of an entry with those of its report. */
+  applyReport(report: types.EntryReport, now: number): void {
     const { entry, epoch, sequence, address } = report;
     const known = this.entries.get(entry);
     if (known?.epoch === epoch && known.sequence >= sequence) {
       return;
     }
-    this.entries.set(entry, { address, epoch, sequence, heardAt: now });
-    const former = new Map(this.placed);
+    this.entries.set(entry, { address, epoch, sequence, lastReportAt: now });
+    const previous = new Map(this.placed);
     for (const [identity, placed] of this.placed) {
-      const fresh = !placed.reported && now - placed.grantedAt < GRANT_HOLDS;
-      if (placed.entry === entry && !fresh) {
+      const isRecentGrant = !placed.reported && now - placed.grantedAt < UNREPORTED_GRANT_TIMEOUT;
+      if (placed.entry === entry && !isRecentGrant) {
         this.placed.delete(identity);
       }
     }
     for (const running of report.generations) {
       const { identity } = running.facts;
-      const known = former.get(identity);
-      const { beganAt, toRead } = known ?? { beganAt: now, toRead: running.facts.promptTokens };
-      this.placed.set(identity, { running, entry, grantedAt: now, beganAt, reported: true, toRead });
-      // Those with others before them tell less: how far the others had been read is not known.
-      const alone = toRead === running.facts.promptTokens;
-      if (known !== undefined && alone && running.started && !known.running.started) {
-        this.pace.learn(running.facts.service, toRead, now - beganAt);
+      const known = previous.get(identity);
+      const { placedAt, prefillTokens } = known ?? {
+        placedAt: now,
+        prefillTokens: running.facts.promptTokens,
+      };
+      this.placed.set(identity, { running, entry, grantedAt: now, placedAt, reported: true, prefillTokens });
+      // Only generations without others ahead are observed, as the progress of the others' prefill is unknown.
+      const hadNoneAhead = prefillTokens === running.facts.promptTokens;
+      if (known !== undefined && hadNoneAhead && running.started && !known.running.started) {
+        this.prefillEstimator.observe(running.facts.service, prefillTokens, now - placedAt);
       }
     }
     for (const finished of report.finished) {
-      this.lengths.learn(finished.facts, finished.produced);
+      this.lengths.observe(finished.facts, finished.produced);
     }
     this.loads = undefined;
   }
 
-  /** Drops what entries ran that are silent, and grants that were never taken up. */
-  expire(now: number): void {
-    this.sent.prune(now);
+  /** Removes generations of entries that stopped reporting, and grants that were never used. */
+  removeExpired(now: number): void {
+    this.recentStarts.prune(now);
     for (const [identity, placed] of this.placed) {
-      const heardAt = this.entries.get(placed.entry)?.heardAt ?? placed.grantedAt;
-      if (now - Math.max(heardAt, placed.grantedAt) > REPORT_LEASE) {
+      const lastReportAt = this.entries.get(placed.entry)?.lastReportAt ?? placed.grantedAt;
+      if (now - Math.max(lastReportAt, placed.grantedAt) > REPORT_LEASE) {
         this.placed.delete(identity);
         this.loads = undefined;
       }
     }
   }
 
-  grant(request: types.PlacementRequest, answer: types.Placement, now: number): void {
+  /** Counts a granted generation on its engine until the entry's reports confirm it. */
+  recordGrant(request: types.PlacementRequest, answer: types.Placement, now: number): void {
     const { facts, entry } = request;
     const { instance } = answer;
     const running = { facts, instance, produced: 0, started: false };
-    const toRead = facts.promptTokens + (this.unreadPrompts(now).get(instance) ?? 0);
-    this.sent.add(instance, now);
+    const prefillTokens = facts.promptTokens + (this.pendingPrefillTokens(now).get(instance) ?? 0);
+    this.recentStarts.add(instance, now);
     this.placed.set(facts.identity, {
       running,
       entry,
       grantedAt: now,
-      beganAt: now,
+      placedAt: now,
       reported: false,
-      toRead,
+      prefillTokens,
     });
     this.loads = undefined;
   }
 
-  expectMove(identity: string, target: string, now: number): void {
-    this.incoming.set(identity, target);
-    this.sent.add(target, now);
+  /** Counts a generation on the target of its move as well. */
+  recordMoveStart(identity: string, target: string, now: number): void {
+    this.moveTargets.set(identity, target);
+    this.recentStarts.add(target, now);
     this.loads = undefined;
   }
 
-  /** Notes the end of a move: the generation runs at its target from now on, or has ended, or stays. */
-  endMove(identity: string, outcome: types.MoveOutcome, now: number): void {
-    const target = this.incoming.get(identity);
+  /** Applies the result of a move: the generation runs on the target, has ended, or remains on the source. */
+  recordMoveEnd(identity: string, outcome: types.MoveOutcome, now: number): void {
+    const target = this.moveTargets.get(identity);
     const placed = this.placed.get(identity);
-    this.incoming.delete(identity);
+    this.moveTargets.delete(identity);
     this.loads = undefined;
     if (outcome === 'ended') {
       this.placed.delete(identity);
@@ -219,15 +220,15 @@
   }
 
   /** True while a generation is being moved onto an engine. */
-  receives(instance: string): boolean {
-    return [...this.incoming.values()].includes(instance);
+  isMoveTarget(instance: string): boolean {
+    return [...this.moveTargets.values()].includes(instance);
   }
 
-  placedOn(instance: string): readonly Placed[] {
+  placedOn(instance: string): readonly PlacedGeneration[] {
     return [...this.placed.values()].filter((placed) => placed.running.instance === instance);
   }
 
-  placedOf(identity: string): Placed | undefined {
+  placedOf(identity: string): PlacedGeneration | undefined {
     return this.placed.get(identity);
   }
 
@@ -235,83 +236,88 @@
     return this.placed.size;
   }
 
-  private growthOf(running: types.RunningGeneration): memoryPeak.Growth {
+  private memoryOf(running: types.RunningGeneration): memoryPeak.GenerationMemory {
     const { facts, produced } = running;
-    return { held: facts.promptTokens + produced, remaining: this.lengths.remaining(facts, produced) };
+    return { held: facts.promptTokens + produced, remaining: this.lengths.remainingOutput(facts, produced) };
   }
 
-  /** What each engine holds: generations, and moves that are on their way. */
-  private loadsOf(): Map<string, memoryPeak.Growth[]> {
+  /** Memory of the generations on each engine, including moves in progress. */
+  private engineLoads(): Map<string, memoryPeak.GenerationMemory[]> {
     if (this.loads !== undefined) {
       return this.loads;
     }
-    const loads = new Map<string, memoryPeak.Growth[]>();
-    const add = (instance: string | undefined, growth: memoryPeak.Growth): void => {
+    const loads = new Map<string, memoryPeak.GenerationMemory[]>();
+    const add = (instance: string | undefined, memory: memoryPeak.GenerationMemory): void => {
       if (instance !== undefined) {
-        const held = loads.get(instance);
-        if (held === undefined) {
-          loads.set(instance, [growth]);
+        const generations = loads.get(instance);
+        if (generations === undefined) {
+          loads.set(instance, [memory]);
         } else {
-          held.push(growth);
+          generations.push(memory);
         }
       }
     };
     for (const [identity, { running }] of this.placed) {
-      const growth = this.growthOf(running);
-      add(running.instance, growth);
-      add(this.incoming.get(identity), growth);
+      const memory = this.memoryOf(running);
+      add(running.instance, memory);
+      add(this.moveTargets.get(identity), memory);
     }
     this.loads = loads;
     return loads;
   }
 
-  /** Prompt tokens on each engine that are not read yet. */
-  private unreadPrompts(now: number): Map<string, number> {
-    const unread = new Map<string, number>();
-    for (const { running, beganAt } of this.placed.values()) {
-      if (!running.started && now - beganAt < READ_AFTER) {
-        unread.set(running.instance, (unread.get(running.instance) ?? 0) + running.facts.promptTokens);
+  /** Prompt tokens on each engine that are not processed yet. */
+  private pendingPrefillTokens(now: number): Map<string, number> {
+    const pending = new Map<string, number>();
+    for (const { running, placedAt } of this.placed.values()) {
+      if (!running.started && now - placedAt < PREFILL_TIMEOUT) {
+        pending.set(running.instance, (pending.get(running.instance) ?? 0) + running.facts.promptTokens);
       }
     }
-    return unread;
+    return pending;
   }
 
-  /** The engine that has the most to spare after taking a generation in; undefined where none has room. */
-  bestFor(search: Search, now: number): Engine | undefined {
-    const { facts, produced, purpose, dataCentre, excluded, nearBonus = SAME_DATA_CENTRE_BONUS } = search;
-    const { firstEventWithin = Number.POSITIVE_INFINITY } = search;
-    const ownPrompt = purpose === 'move' ? 0 : facts.promptTokens;
-    const loads = this.loadsOf();
-    const unread = this.unreadPrompts(now);
-    const held = facts.promptTokens + produced;
-    const growth = { held, remaining: this.lengths.remaining(facts, produced) };
-    const keptFree = purpose === 'patient' || purpose === 'late' ? SLOTS_KEPT_FREE : 0;
+  /** Selects the engine with the most free capacity after accepting the generation; undefined if none fits. */
+  selectEngine(query: EngineQuery, now: number): Engine | undefined {
+    const { facts, produced, purpose, dataCentre, excluded, localityBonus = SAME_DATA_CENTRE_BONUS } = query;
+    const { maximumTimeToFirstEvent = Number.POSITIVE_INFINITY } = query;
+    const ownPrefillTokens = purpose === 'move' ? 0 : facts.promptTokens;
+    const loads = this.engineLoads();
+    const pendingPrefill = this.pendingPrefillTokens(now);
+    const heldTokens = facts.promptTokens + produced;
+    const newGeneration = { held: heldTokens, remaining: this.lengths.remainingOutput(facts, produced) };
+    const reservedSlots = purpose === 'patient' || purpose === 'late' ? RESERVED_SLOTS : 0;
     let best: Engine | undefined;
     let bestScore = Number.NEGATIVE_INFINITY;
     for (const engine of this.engines.values()) {
-      const isClosed = engine.leaving || engine.evacuated || excluded.has(engine.identity);
+      const isExcluded = engine.draining || engine.evacuated || excluded.has(engine.identity);
       const isAllowed = residency.allows(engine.dataCentre, facts.dataCentres);
-      const toleratesMore =
-        this.sent.of(engine.identity, now) < (engine.tolerated ?? Number.POSITIVE_INFINITY);
-      if (engine.service !== facts.service || isClosed || !isAllowed || !toleratesMore) {
+      const isUnderRateLimit =
+        this.recentStarts.of(engine.identity, now) < (engine.warmUpRateLimit ?? Number.POSITIVE_INFINITY);
+      if (engine.service !== facts.service || isExcluded || !isAllowed || !isUnderRateLimit) {
         continue;
       }
-      const load = loads.get(engine.identity) ?? EMPTY;
+      const load = loads.get(engine.identity) ?? NO_GENERATIONS;
       const { memoryTokens, slots } = engine.traits;
-      const all = [...load, growth];
-      const needed = purpose === 'urgent' ? memoryPeak.heldAt(all, growth.remaining) : memoryPeak.peakOf(all);
-      const filled = needed / memoryTokens;
-      // An engine with nothing on it takes a generation of any size: it would wait for ever otherwise.
-      const fits = filled <= MEMORY_SHARES[purpose] || load.length === 0;
-      const toRead = ownPrompt + (unread.get(engine.identity) ?? 0);
-      const firstEvent = this.isOn('readingPace') ? this.pace.timeToFirstEvent(facts.service, toRead) : 0;
-      const near = engine.dataCentre === dataCentre ? nearBonus : 0;
-      const score = near - filled - firstEvent * SHARE_FOR_MILLISECOND;
-      const takes =
-        (fits || !this.isOn('memoryBound')) &&
-        load.length < slots - keptFree &&
-        firstEvent <= firstEventWithin;
-      if (takes && score > bestScore) {
+      const generations = [...load, newGeneration];
+      const neededTokens =
+        purpose === 'urgent'
+          ? memoryPeak.heldAt(generations, newGeneration.remaining)
+          : memoryPeak.peakOf(generations);
+      const memoryShare = neededTokens / memoryTokens;
+      // An idle engine accepts a generation of any size, which would otherwise never be placed.
+      const fits = memoryShare <= MEMORY_LIMITS[purpose] || load.length === 0;
+      const prefillTokens = ownPrefillTokens + (pendingPrefill.get(engine.identity) ?? 0);
+      const timeToFirstEvent = this.isEnabled('readingPace')
+        ? this.prefillEstimator.timeToFirstEvent(facts.service, prefillTokens)
+        : 0;
+      const locality = engine.dataCentre === dataCentre ? localityBonus : 0;
+      const score = locality - memoryShare - timeToFirstEvent * FIRST_EVENT_DELAY_WEIGHT;
+      const isEligible =
+        (fits || !this.isEnabled('memoryBound')) &&
+        load.length < slots - reservedSlots &&
+        timeToFirstEvent <= maximumTimeToFirstEvent;
+      if (isEligible && score > bestScore) {
         best = engine;
         bestScore = score;
       }
@@ -319,13 +325,13 @@
     return best;
   }
 
-  /** One word for each engine: identity, generations, forecast share of its memory, and whether it leaves. */
-  describe(): readonly string[] {
-    const loads = this.loadsOf();
+  /** Formats each engine for the log: identity, generation count, forecast share of memory, and state flags. */
+  describeLoads(): readonly string[] {
+    const loads = this.engineLoads();
     return [...this.engines.values()].map((engine) => {
-      const load = loads.get(engine.identity) ?? EMPTY;
+      const load = loads.get(engine.identity) ?? NO_GENERATIONS;
       const share = Math.round((100 * memoryPeak.peakOf(load)) / engine.traits.memoryTokens);
-      return `${engine.identity}:${load.length}:${share}%${engine.leaving ? ':leaving' : ''}${engine.evacuated ? ':evacuated' : ''}${engine.tolerated === undefined ? '' : ':cold'}`;
+      return `${engine.identity}:${load.length}:${share}%${engine.draining ? ':leaving' : ''}${engine.evacuated ? ':evacuated' : ''}${engine.warmUpRateLimit === undefined ? '' : ':cold'}`;
     });
   }
 }
--- a/packages/kumquatfront/src/placement/evacuation.spec.ts
+++ b/packages/kumquatfront/src/placement/evacuation.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Generations are moved off engines that leave: one at a time, to where there is room, what has no copy first.
+ * Moves of generations off draining engines.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -19,11 +19,11 @@
   tokensPerEvent: 4,
 };
 
-function engine(identity: string, dataCentre: string, leaving = false): enginePool.Engine {
-  return { identity, service: 'llm', dataCentre, leaving, evacuated: false, traits };
+function engine(identity: string, dataCentre: string, draining = false): enginePool.Engine {
+  return { identity, service: 'llm', dataCentre, draining, evacuated: false, traits };
 }
 
-interface Asked {
+interface SentMove {
   readonly command: types.MoveCommand;
   readonly done: (outcome: types.MoveOutcome) => void;
 }
@@ -41,16 +41,16 @@
   return { facts, instance: 'a', produced: 100, started: true, ...changes };
 }
 
-/** An evacuation of engine `a` with what runs there. */
+/** Starts moving `generations` off the draining ones of `engines`, and records the move commands. */
 function evacuate(
   engines: readonly enginePool.Engine[],
   generations: readonly types.RunningGeneration[],
-): { asked: Asked[]; pump: () => void } {
-  const silent = (): void => undefined;
-  const log: ports.Log = { debug: silent, info: silent, warn: silent, error: silent };
-  const metrics: ports.Metrics = { count: silent, gauge: silent, timing: silent };
+): { sentMoves: SentMove[]; startMoves: () => void } {
+  const noop = (): void => undefined;
+  const log: ports.Log = { debug: noop, info: noop, warn: noop, error: noop };
+  const metrics: ports.Metrics = { count: noop, gauge: noop, timing: noop };
   const pool = new enginePool.EnginePool();
-  const asked: Asked[] = [];
+  const sentMoves: SentMove[] = [];
   pool.setEngines(engines);
   const report = {
     entry: 'e',
@@ -61,96 +61,104 @@
     leaving: [],
     unlisted: [],
   };
-  pool.report({ ...report, generations }, 0);
-  const service = new evacuation.Evacuation({
+  pool.applyReport({ ...report, generations }, 0);
+  const scheduler = new evacuation.EvacuationScheduler({
     pool,
     move: (_address, command, done) => {
-      asked.push({ command, done });
+      sentMoves.push({ command, done });
     },
     now: () => 0,
     log,
     metrics,
   });
-  service.pump();
+  scheduler.startMoves();
   return {
-    asked,
-    pump: () => {
-      service.pump();
+    sentMoves,
+    startMoves: () => {
+      scheduler.startMoves();
     },
   };
 }
 
-// Copies share the link of their source. Ten begun at once end together, after the engine is gone; one after
-// another, those that are done are safe.
-void test.test('one generation at a time leaves an engine', () => {
-  const { asked, pump } = evacuate([engine('a', 'x', true), engine('b', 'x')], [running('1'), running('2')]);
-  pump();
-  assert.equal(asked.length, 1);
-  asked[0]?.done('moved');
-  assert.equal(asked.length, 2);
-  assert.notEqual(asked[1]?.command.identity, asked[0]?.command.identity);
+// Guards against concurrent copies that share the source's network link and all complete too late.
+void test.test('generations are moved off an engine one at a time', () => {
+  const { sentMoves, startMoves } = evacuate(
+    [engine('a', 'x', true), engine('b', 'x')],
+    [running('1'), running('2')],
+  );
+  startMoves();
+  assert.equal(sentMoves.length, 1);
+  sentMoves[0]?.done('moved');
+  assert.equal(sentMoves.length, 2);
+  assert.notEqual(sentMoves[1]?.command.identity, sentMoves[0]?.command.identity);
 });
 
-void test.test('the data centre of the source goes first, where a copy takes half as long', () => {
+void test.test('targets in the data centre of the source are preferred', () => {
   const engines = [engine('a', 'x', true), engine('far', 'y'), engine('near', 'x')];
-  const { asked } = evacuate(engines, [running('1')]);
-  assert.equal(asked[0]?.command.target, 'near');
+  const { sentMoves } = evacuate(engines, [running('1')]);
+  assert.equal(sentMoves[0]?.command.target, 'near');
 });
 
-// The target's caches and copies are in no report; told that it has no room, asking again wastes the notice.
-void test.test('a target without room is not asked again for the same generation', () => {
+// Guards against wasting the time before termination on a target that already rejected the move.
+void test.test('a target to which a move failed is not tried again for the same generation', () => {
   const engines = [engine('a', 'x', true), engine('b', 'x'), engine('c', 'y')];
-  const { asked } = evacuate(engines, [running('1')]);
-  asked[0]?.done('failed');
+  const { sentMoves } = evacuate(engines, [running('1')]);
+  sentMoves[0]?.done('failed');
   assert.deepEqual(
-    asked.map((move) => move.command.target),
+    sentMoves.map((move) => move.command.target),
     ['b', 'c'],
   );
-  asked[1]?.done('failed');
-  assert.equal(asked.length, 2);
+  sentMoves[1]?.done('failed');
+  assert.equal(sentMoves.length, 2);
 });
 
-// One is nearly done and ends before its engine does; the notice is for the other.
-void test.test('what ends by itself is not moved first', () => {
+// Guards against moving a generation that would complete before its engine terminates.
+void test.test('a nearly complete generation is not moved first', () => {
   const engines = [engine('a', 'x', true), engine('b', 'x')];
   const nearlyDone = running('done', { produced: 940 });
-  const { asked } = evacuate(engines, [nearlyDone, running('long', { produced: 300 })]);
-  assert.equal(asked[0]?.command.identity, 'long');
+  const { sentMoves } = evacuate(engines, [nearlyDone, running('long', { produced: 300 })]);
+  assert.equal(sentMoves[0]?.command.identity, 'long');
 });
 
-void test.test('what has not begun has no memory to move', () => {
-  const { asked } = evacuate([engine('a', 'x', true), engine('b', 'x')], [running('1', { started: false })]);
-  assert.equal(asked.length, 0);
+void test.test('a generation that has not started is not moved', () => {
+  const { sentMoves } = evacuate(
+    [engine('a', 'x', true), engine('b', 'x')],
+    [running('1', { started: false })],
+  );
+  assert.equal(sentMoves.length, 0);
 });
 
-void test.test('an engine that leaves is no target', () => {
-  const { asked } = evacuate([engine('a', 'x', true), engine('b', 'x', true)], [running('1')]);
-  assert.equal(asked.length, 0);
+void test.test('a draining engine is not a target', () => {
+  const { sentMoves } = evacuate([engine('a', 'x', true), engine('b', 'x', true)], [running('1')]);
+  assert.equal(sentMoves.length, 0);
 });
 
-// A data centre is evacuated: its engines go on, but are no place for what must leave another one.
-void test.test('an engine of an evacuated data centre is no target', () => {
-  const closed = { ...engine('b', 'x'), evacuated: true };
-  const { asked } = evacuate([engine('a', 'x', true), closed, engine('c', 'y')], [running('1')]);
+// Guards against moving generations into an evacuated data centre, whose engines still run.
+void test.test('an engine in an evacuated data centre is not a target', () => {
+  const evacuated = { ...engine('b', 'x'), evacuated: true };
+  const { sentMoves } = evacuate([engine('a', 'x', true), evacuated, engine('c', 'y')], [running('1')]);
   assert.deepEqual(
-    asked.map((move) => move.command.target),
+    sentMoves.map((move) => move.command.target),
     ['c'],
   );
 });
 
-// The room elsewhere is needed for all that the evacuated data centre does not take any more: what runs there ends there.
-void test.test('nothing is moved off the engines of an evacuated data centre', () => {
-  const { asked } = evacuate([{ ...engine('a', 'x'), evacuated: true }, engine('b', 'y')], [running('1')]);
-  assert.equal(asked.length, 0);
+// Guards against using free capacity of other data centres for generations that can complete where they run.
+void test.test('generations in an evacuated data centre are not moved', () => {
+  const { sentMoves } = evacuate(
+    [{ ...engine('a', 'x'), evacuated: true }, engine('b', 'y')],
+    [running('1')],
+  );
+  assert.equal(sentMoves.length, 0);
 });
 
-// The nearest engine with room is abroad: the generation stays at home, also when it must move.
-void test.test('a generation with a home is moved within it', () => {
+// Guards against moving a generation out of the data centres in which it may run.
+void test.test('a generation with restricted data centres is moved only within them', () => {
   const engines = [engine('a', 'x', true), engine('b', 'x'), engine('c', 'y')];
   const { facts } = running('1');
-  const { asked } = evacuate(engines, [running('1', { facts: { ...facts, dataCentres: ['y'] } })]);
+  const { sentMoves } = evacuate(engines, [running('1', { facts: { ...facts, dataCentres: ['y'] } })]);
   assert.deepEqual(
-    asked.map((move) => move.command.target),
+    sentMoves.map((move) => move.command.target),
     ['c'],
   );
 });
--- a/packages/kumquatfront/src/placement/forecast.spec.ts
+++ b/packages/kumquatfront/src/placement/forecast.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Forecasts of length and memory.
+ * Forecasts of output length and peak memory.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -20,63 +20,63 @@
   account: '',
 };
 
-void test.test('without experience the hint counts, up to the limit', () => {
+void test.test('without observations the hint is used, up to the output limit', () => {
   const forecast = new lengthForecast.LengthForecast();
-  assert.equal(forecast.expectedOutput(facts, 0), 900);
-  assert.equal(forecast.expectedOutput({ ...facts, lengthHint: 9_000 }, 0), 2_224);
-  assert.equal(forecast.expectedOutput({ ...facts, lengthHint: 0 }, 0), 1_112);
+  assert.equal(forecast.totalOutput(facts, 0), 900);
+  assert.equal(forecast.totalOutput({ ...facts, lengthHint: 9_000 }, 0), 2_224);
+  assert.equal(forecast.totalOutput({ ...facts, lengthHint: 0 }, 0), 1_112);
 });
 
-void test.test('a generation that outlived most others is forecast as a long one', () => {
+void test.test('the forecast of a running generation is the mean of longer observations', () => {
   const forecast = new lengthForecast.LengthForecast();
   for (let length = 100; length <= 2_000; length += 100) {
-    forecast.learn(facts, length);
+    forecast.observe(facts, length);
   }
-  const young = forecast.expectedOutput({ ...facts, lengthHint: 0 }, 0);
-  const old = forecast.expectedOutput({ ...facts, lengthHint: 0 }, 1_500);
-  assert.equal(young, 1_050);
-  assert.equal(old, 1_800);
+  const initial = forecast.totalOutput({ ...facts, lengthHint: 0 }, 0);
+  const later = forecast.totalOutput({ ...facts, lengthHint: 0 }, 1_500);
+  assert.equal(initial, 1_050);
+  assert.equal(later, 1_800);
 });
 
-void test.test('a hint moves the forecast, by less than its own error', () => {
+void test.test('a hint shifts the forecast only partially', () => {
   const forecast = new lengthForecast.LengthForecast();
   for (let count = 0; count < 20; count += 1) {
-    forecast.learn(facts, 800);
+    forecast.observe(facts, 800);
   }
-  const high = forecast.expectedOutput({ ...facts, lengthHint: 2_200 }, 0);
+  const high = forecast.totalOutput({ ...facts, lengthHint: 2_200 }, 0);
   assert.ok(high > 800 && high < 1_500, `forecast ${high}`);
 });
 
-void test.test('a running generation is never forecast as done', () => {
+void test.test('a running generation is never forecast as complete', () => {
   const forecast = new lengthForecast.LengthForecast();
-  assert.ok(forecast.remaining({ ...facts, lengthHint: 10 }, 500) > 0);
+  assert.ok(forecast.remainingOutput({ ...facts, lengthHint: 10 }, 500) > 0);
 });
 
-/** The peak by trying every step. */
-function peakByTrial(generations: readonly memoryPeak.Growth[]): number {
+/** Computes the peak by evaluating every step. */
+function peakByBruteForce(generations: readonly memoryPeak.GenerationMemory[]): number {
   const end = Math.max(0, ...generations.map((generation) => generation.remaining));
   let peak = 0;
   for (let step = 0; step <= end; step += 1) {
-    const alive = generations.filter((generation) => generation.remaining >= step);
+    const active = generations.filter((generation) => generation.remaining >= step);
     peak = Math.max(
       peak,
-      alive.reduce((sum, generation) => sum + generation.held + step, 0),
+      active.reduce((sum, generation) => sum + generation.held + step, 0),
     );
   }
   return peak;
 }
 
-void test.test('the peak is what trying every step finds', () => {
+void test.test('the peak equals the maximum over all steps', () => {
   const growth = fastCheck.record({ held: fastCheck.nat(500), remaining: fastCheck.nat(60) });
   fastCheck.assert(
     fastCheck.property(fastCheck.array(growth, { maxLength: 12 }), (generations) => {
-      assert.equal(memoryPeak.peakOf(generations), peakByTrial(generations));
+      assert.equal(memoryPeak.peakOf(generations), peakByBruteForce(generations));
     }),
     { seed: 11 },
   );
 });
 
-void test.test('generations that end one after another need less than their peaks together', () => {
+void test.test('generations that end at different times need less than the sum of their peaks', () => {
   const generations = [
     { held: 3_000, remaining: 500 },
     { held: 3_200, remaining: 20 },
--- a/packages/kumquatfront/src/placement/mechanisms.ts
+++ b/packages/kumquatfront/src/placement/mechanisms.ts
@@ -1,55 +1,55 @@
 /**
- * The mechanisms of placement by name, each of which can be switched off by the settings of control. Off is for
- * measurement: what a day earns with and without a mechanism tells what it is worth.
+ * Feature flags of the placement coordinator. Control's `switchedOff` setting disables features by name, so that their
+ * effect can be evaluated.
  */
 import * as failures from '../kernel/failures.js';
 import * as results from '../kernel/results.js';
 
-/** Names of the mechanisms; see the module that each stands in. */
+/** Names of the features, as used in the settings. */
 export const NAMES = [
-  /** Time to the first event by what is read before counts in a placement. */
+  /** Placement takes into account the prompts that an engine must process before the first event. */
   'readingPace',
-  /** The forecast of memory bounds what an engine takes. */
+  /** The memory forecast limits which generations an engine accepts. */
   'memoryBound',
-  /** Generations are moved off engines that leave. */
+  /** Generations are moved off draining engines. */
   'evacuation',
-  /** Callers that come back are recognised, and their objective counts from their first question. */
+  /** The objective of a retry after a refusal counts from the caller's first attempt. */
   'returningCallers',
-  /** Those that can be in time go before late ones, which only get slack. */
+  /** Requests that can meet their objective precede late ones, which only get spare capacity. */
   'lateLast',
-  /** Among equals the shorter forecast goes first. */
+  /** Among requests of equal priority, the shortest forecast output goes first. */
   'shorterFirst',
 ] as const;
 
-/** One of the mechanisms. */
-export type Mechanism = (typeof NAMES)[number];
+/** Name of a placement feature. */
+export type Feature = (typeof NAMES)[number];
 
-/** Tells whether a mechanism is in use. */
-export type IsOn = (mechanism: Mechanism) => boolean;
+/** Returns whether a feature is enabled. */
+export type IsOn = (feature: Feature) => boolean;
 
-/** Everything is in use. */
+/** Enables every feature. */
 export const allOn: IsOn = () => true;
 
-function isMechanism(name: unknown): name is Mechanism {
+function isFeature(name: unknown): name is Feature {
   return NAMES.some((known) => known === name);
 }
 
 /**
- * Reads the names of mechanisms that are switched off.
+ * Parses the names of disabled features.
  *
- * @param names - the names, as the settings give them
- * @returns what tells whether a mechanism is in use, or a `badInput` failure
+ * @param names - names from the settings
+ * @returns a predicate for enabled features, or a `badInput` failure for an unknown name
  * @example
  * ```ts
- * const isOn = mechanisms.without(['evacuation']);
+ * const isEnabled = placementFeatures.withDisabled(['evacuation']);
  * ```
  */
 export function without(names: readonly unknown[]): results.Result<IsOn, failures.Failure> {
-  const unknown = names.find((name) => !isMechanism(name));
-  if (unknown !== undefined) {
-    const message = `There is no mechanism ${JSON.stringify(unknown)} to switch off.`;
+  const unknownName = names.find((name) => !isFeature(name));
+  if (unknownName !== undefined) {
+    const message = `Unknown placement feature ${JSON.stringify(unknownName)} in the list of disabled features.`;
     return results.Err(failures.create('badInput', message, `Name some of: ${NAMES.join(', ')}.`));
   }
-  const off = new Set(names);
-  return results.Ok((mechanism) => !off.has(mechanism));
+  const disabled = new Set(names);
+  return results.Ok((feature) => !disabled.has(feature));
 }
--- a/packages/kumquatfront/src/placement/overload.spec.ts
+++ b/packages/kumquatfront/src/placement/overload.spec.ts
@@ -1,10 +1,6 @@
 /**
- * The coordinator under a load of many generations on few engines, on virtual time.
- *
- * Pattern: long generations of unknown length come faster than engines can hold them, and every few seconds an
- * engine leaves and another takes its place. Without a bound on memory the engines preempt what they run; with
- * a first-come queue everybody is late. Grounds of the figures: the rates, prompts and lengths of the first
- * users' grown site (prompts of 3,000 tokens, outputs log-normal around 700, 22,000 tokens an engine).
+ * Simulation of the coordinator with and without overload, on virtual time. Half of the generations are urgent and
+ * short; the others have long prompts and log-normal output lengths.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -21,8 +17,8 @@
 import * as waitingRules from './waitingRules.js';
 
 const MEMORY = 22_000;
-const TOKEN_TIME = 8;
-const REPORT = 250;
+const MILLISECONDS_PER_TOKEN = 8;
+const REPORT_INTERVAL = 250;
 const OBJECTIVE = 1_800;
 
 interface Run {
@@ -36,19 +32,19 @@
   readonly inTime: number;
   readonly late: number;
   readonly refused: number;
-  /** Moments, one a report, at which an engine held more than its memory. */
+  /** Number of reports of an engine that held more tokens than its memory. */
   readonly overfilled: number;
   readonly urgentRefused: number;
 }
 
-/** Plays half a minute of one entry's generations over a set of engines. */
-function play(seed: number, engineCount: number, perSecond: number): Outcome {
+/** Simulates half a minute of one entry's generations on a set of engines. */
+function simulate(seed: number, engineCount: number, perSecond: number): Outcome {
   const time = new virtualTime.VirtualTime();
   const random = seededRandom.create(seed);
   const timers = timerService.create(time.clock, time);
-  const silent = (): void => undefined;
-  const log: ports.Log = { debug: silent, info: silent, warn: silent, error: silent };
-  const metrics: ports.Metrics = { count: silent, gauge: silent, timing: silent };
+  const noop = (): void => undefined;
+  const log: ports.Log = { debug: noop, info: noop, warn: noop, error: noop };
+  const metrics: ports.Metrics = { count: noop, gauge: noop, timing: noop };
   const engine: trafficTypes.EngineTraits = {
     slots: 24,
     memoryTokens: MEMORY,
@@ -73,7 +69,7 @@
     firstAge: 0,
   }));
   const service: trafficTypes.Service = { name: 'llm', maximumConnections: 100, engine };
-  const placer = new coordinator.Coordinator({
+  const placementCoordinator = new coordinator.Coordinator({
     timers,
     log,
     metrics,
@@ -83,7 +79,7 @@
     isEvacuated: () => false,
     serviceOf: () => service,
     entries: () => ['e'],
-    move: silent,
+    move: noop,
   });
   const runs = new Map<string, Run>();
   const counts = { inTime: 0, late: 0, refused: 0, overfilled: 0, urgentRefused: 0 };
@@ -91,7 +87,7 @@
   let sequence = 0;
 
   const producedBy = (run: Run): number =>
-    Math.min(run.length, Math.floor((time.now() - run.beganAt) / TOKEN_TIME));
+    Math.min(run.length, Math.floor((time.now() - run.beganAt) / MILLISECONDS_PER_TOKEN));
   const report = (): void => {
     const held = new Map<string, number>();
     const generations = [...runs.values()].map((run) => {
@@ -101,13 +97,13 @@
     });
     counts.overfilled += [...held.values()].filter((tokens) => tokens > MEMORY).length;
     sequence += 1;
-    placer.report({
+    placementCoordinator.report({
       ...{ entry: 'e', address: 'e:1', epoch: 'x', sequence, leaving: [], unlisted: [] },
       generations,
       finished,
     });
     finished = [];
-    time.after(REPORT, report);
+    time.after(REPORT_INTERVAL, report);
   };
   report();
 
@@ -124,9 +120,9 @@
       rank: urgent ? 0 : 1,
       account: '',
     };
-    const askedAt = time.now();
+    const requestedAt = time.now();
     const patience = waitingRules.longestWait(OBJECTIVE, 39_000, facts.rank);
-    placer.place(
+    placementCoordinator.place(
       {
         ...{ facts, entry: 'e', dataCentre: 'a', excluded: [], likeness: facts.identity, patience },
         ...{ objective: OBJECTIVE, objectiveLeft: OBJECTIVE },
@@ -137,9 +133,9 @@
           counts.urgentRefused += urgent ? 1 : 0;
           return;
         }
-        counts[time.now() - askedAt <= OBJECTIVE ? 'inTime' : 'late'] += 1;
+        counts[time.now() - requestedAt <= OBJECTIVE ? 'inTime' : 'late'] += 1;
         runs.set(facts.identity, { facts, length, instance: answer.instance, beganAt: time.now() });
-        time.after(length * TOKEN_TIME, () => {
+        time.after(length * MILLISECONDS_PER_TOKEN, () => {
           runs.delete(facts.identity);
           finished.push({ facts, produced: length });
         });
@@ -158,17 +154,16 @@
 }
 
 for (const seed of [1, 2, 3]) {
-  void test.test(`with room for all nobody waits or is refused, seed ${seed}`, () => {
-    const outcome = play(seed, 12, 8);
+  void test.test(`without overload every request is placed in time, seed ${seed}`, () => {
+    const outcome = simulate(seed, 12, 8);
     assert.equal(outcome.refused, 0);
     assert.equal(outcome.late, 0);
     assert.equal(outcome.overfilled, 0);
   });
 
-  // Twice as much comes as fits. Whoever is served is served in time, the rest is told early; the engines hold
-  // what they were given, so nothing is preempted; urgent ones hardly notice.
-  void test.test(`under twice the load most of what is served is in time, seed ${seed}`, () => {
-    const outcome = play(seed, 4, 10);
+  // Guards against late answers, engines out of memory and refused urgent requests under overload.
+  void test.test(`under twice the sustainable load most placed requests are in time, seed ${seed}`, () => {
+    const outcome = simulate(seed, 4, 10);
     const served = outcome.inTime + outcome.late;
     assert.ok(outcome.inTime > 0.8 * served, `in time ${outcome.inTime} of ${served}`);
     assert.ok(outcome.refused > 20, `refused ${outcome.refused}`);
--- a/packages/kumquatfront/src/placement/placementQueue.ts
+++ b/packages/kumquatfront/src/placement/placementQueue.ts
@@ -1,117 +1,113 @@
 /**
- * Generations that wait for a place on an engine.
- *
- * Pattern: under overload a first-come queue makes everybody late. Those that can still be in time go before
- * those that are late already, which lose nothing more by waiting; urgent ones go before patient ones always.
- * Among equals the shorter forecast goes first: a short generation earns several times as much for each token
- * of memory and second. Waiting makes up for length, so that a long one goes first after a second or two; and
- * one that finds no room must not be overtaken for ever, nor hold everything up.
+ * Priority queue of placement requests, ordered by rank, then by whether the objective can still be met, then by
+ * forecast output length (shortest job first, with aging). A first-come queue would make every request late under
+ * overload. A request that does not fit may be overtaken by smaller ones, but only for a limited time.
  */
 import type * as ports from '../kernel/ports.js';
 import type * as timeliness from './timeliness.js';
 import type * as types from './types.js';
 
-/** One that waits. */
-export interface Waiting {
+/** A request in the queue. */
+export interface QueuedRequest {
   readonly request: types.PlacementRequest;
   readonly since: ports.Milliseconds;
-  readonly answer: (answer: types.PlacementAnswer) => void;
+  readonly respond: (answer: types.PlacementAnswer) => void;
 }
 
-/** Tokens of forecast output that one millisecond of waiting makes up for: the longest ones in two seconds. */
-const TOKENS_PER_WAITED_MILLISECOND = 0.8;
+/** Tokens of forecast output that one millisecond in the queue offsets. */
+const AGING_TOKENS_PER_MILLISECOND = 0.8;
 
-/** Time for which smaller generations may overtake a larger one that finds no room: near one objective. */
-const OVERTAKEN_FOR: ports.Milliseconds = 1_500;
+/** Time for which other requests may overtake one that does not fit on any engine. */
+const OVERTAKING_LIMIT: ports.Milliseconds = 1_500;
 
-/** Generations that may wait at once; with a hundred bytes each, far below what control may use. */
-const MOST_WAITING = 2_000;
+/** Maximum number of queued requests. */
+const MAXIMUM_QUEUE_SIZE = 2_000;
 
-/** What the queue asks of those who forecast. */
-export interface QueueForecasts {
-  /** Forecast of a generation's output, in tokens. */
+/** Forecasts that determine the order of the queue. */
+export interface RequestForecasts {
+  /** Forecast output length in tokens. */
   readonly expectedOutput: (facts: types.GenerationFacts) => number;
   readonly timelinessOf: (
-    waiting: Pick<Waiting, 'request' | 'since'>,
+    queued: Pick<QueuedRequest, 'request' | 'since'>,
     now: ports.Milliseconds,
   ) => timeliness.Timeliness;
 }
 
-/** The queue; see the module comment. */
+/** Queue of the requests that are not placed yet. */
 export class PlacementQueue {
-  private readonly waiting = new Map<string, Waiting>();
-  private readonly forecasts: QueueForecasts;
+  private readonly requests = new Map<string, QueuedRequest>();
+  private readonly forecasts: RequestForecasts;
 
-  constructor(forecasts: QueueForecasts) {
+  constructor(forecasts: RequestForecasts) {
     this.forecasts = forecasts;
   }
 
   get size(): number {
-    return this.waiting.size;
+    return this.requests.size;
   }
 
-  /** Adds one; asking again for the same generation replaces the former question. False where it is full. */
-  add(request: types.PlacementRequest, now: number, answer: Waiting['answer']): boolean {
-    const former = this.waiting.get(request.facts.identity);
-    if (former === undefined && this.waiting.size >= MOST_WAITING) {
+  /** Adds a request, or replaces an earlier one for the same generation; returns false if the queue is full. */
+  add(request: types.PlacementRequest, now: number, respond: QueuedRequest['respond']): boolean {
+    const previous = this.requests.get(request.facts.identity);
+    if (previous === undefined && this.requests.size >= MAXIMUM_QUEUE_SIZE) {
       return false;
     }
-    this.waiting.set(request.facts.identity, { request, since: former?.since ?? now, answer });
+    this.requests.set(request.facts.identity, { request, since: previous?.since ?? now, respond });
     return true;
   }
 
   remove(identity: string): void {
-    this.waiting.delete(identity);
+    this.requests.delete(identity);
   }
 
-  waitingOf(service: string): number {
-    return [...this.waiting.values()].filter((entry) => entry.request.facts.service === service).length;
+  countForService(service: string): number {
+    return [...this.requests.values()].filter((entry) => entry.request.facts.service === service).length;
   }
 
-  /** Takes out all whose patience is over, and those that became late while they waited. */
-  takeExpired(now: number): readonly Waiting[] {
-    const expired = [...this.waiting.values()].filter(
-      (entry) => now - entry.since >= entry.request.patience || this.becameLate(entry, now),
+  /** Removes and returns requests that exceeded their maximum wait or became late in the queue. */
+  takeExpired(now: number): readonly QueuedRequest[] {
+    const expired = [...this.requests.values()].filter(
+      (entry) => now - entry.since >= entry.request.patience || this.becameLateWhileQueued(entry, now),
     );
     for (const entry of expired) {
-      this.waiting.delete(entry.request.facts.identity);
+      this.requests.delete(entry.request.facts.identity);
     }
     return expired;
   }
 
-  /** Whoever was late when it came waits for slack; who could have been in time is better told at once. */
-  private becameLate(entry: Waiting, now: number): boolean {
+  /** True if the objective could be met on arrival but no longer can; requests late on arrival keep waiting. */
+  private becameLateWhileQueued(entry: QueuedRequest, now: number): boolean {
     const { timelinessOf } = this.forecasts;
     return timelinessOf(entry, now) === 'late' && timelinessOf(entry, entry.since) === 'inTime';
   }
 
-  private inOrder(now: number): readonly Waiting[] {
-    const keyed = [...this.waiting.values()].map((entry) => {
+  private sortedRequests(now: number): readonly QueuedRequest[] {
+    const keyedRequests = [...this.requests.values()].map((entry) => {
       const waited = now - entry.since;
       const { facts } = entry.request;
       const late = this.forecasts.timelinessOf(entry, now) === 'late' ? 1 : 0;
-      const length = this.forecasts.expectedOutput(facts) - waited * TOKENS_PER_WAITED_MILLISECOND;
+      const length = this.forecasts.expectedOutput(facts) - waited * AGING_TOKENS_PER_MILLISECOND;
       return { entry, late, length, rank: facts.rank };
     });
-    keyed.sort(
+    keyedRequests.sort(
       (left, right) => left.rank - right.rank || left.late - right.late || left.length - right.length,
     );
-    return keyed.map((key) => key.entry);
+    return keyedRequests.map((key) => key.entry);
   }
 
-  /** Offers places in order; `place` returns true where one was found. */
-  serve(now: number, place: (waiting: Waiting) => boolean): void {
-    const heldUp = new Map<string, number>();
-    for (const entry of this.inOrder(now)) {
+  /** Attempts to place requests in order; `tryPlace` returns true if one was placed. */
+  dispatch(now: number, tryPlace: (queued: QueuedRequest) => boolean): void {
+    const blockedServices = new Map<string, number>();
+    for (const entry of this.sortedRequests(now)) {
       const { service, rank, identity } = entry.request.facts;
-      const holder = heldUp.get(service);
-      if (holder !== undefined && holder <= rank) {
+      const blockingRank = blockedServices.get(service);
+      if (blockingRank !== undefined && blockingRank <= rank) {
         continue;
       }
-      if (place(entry)) {
-        this.waiting.delete(identity);
-      } else if (now - entry.since > OVERTAKEN_FOR) {
-        heldUp.set(service, rank);
+      if (tryPlace(entry)) {
+        this.requests.delete(identity);
+      } else if (now - entry.since > OVERTAKING_LIMIT) {
+        blockedServices.set(service, rank);
       }
     }
   }
--- a/packages/kumquatfront/src/placement/ranks.spec.ts
+++ b/packages/kumquatfront/src/placement/ranks.spec.ts
@@ -1,11 +1,10 @@
 /**
- * Urgent and patient generations of client accounts that all have the same priority: the crowded hours of a site with
- * many accounts, where short answers and long reports want the same engines.
+ * Ranks of urgent and patient generations whose client accounts have the same priority.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
 
-import * as coordinatorBench from './coordinatorBench.js';
+import * as coordinatorTestHarness from './coordinatorTestHarness.js';
 import * as lengthForecast from './lengthForecast.js';
 import * as ranks from './ranks.js';
 import type * as types from './types.js';
@@ -14,46 +13,45 @@
 const SHORT = ranks.of(0, ACCOUNT_PRIORITY);
 const LONG = ranks.of(1, ACCOUNT_PRIORITY);
 
-void test.test('the account comes before the route, and the route decides among equals', () => {
+void test.test('the account priority takes precedence over the route priority', () => {
   assert.ok(ranks.of(5, 0) < ranks.of(0, 1));
   assert.ok(SHORT < LONG);
   assert.ok(ranks.of(1_000, 0) < ranks.of(0, 1));
   assert.equal(ranks.of(2), 2);
 });
 
-void test.test('an urgent route is urgent whatever the priority of its account', () => {
+void test.test('a generation on an urgent route is urgent for any account priority', () => {
   assert.equal(ranks.isPatient(SHORT), false);
   assert.equal(ranks.isPatient(LONG), true);
   assert.equal(ranks.isPatient(ranks.of(0)), false);
 });
 
-// The only engine is full of long reports and more of them wait; a teacher's question comes last. It is short and urgent:
-// it has room beside the reports, and must not wait behind them.
-void test.test('a short answer does not wait behind long ones of accounts of the same priority', () => {
-  const bench = new coordinatorBench.CoordinatorBench(1, 2).begin();
+// Guards against ranking by account priority alone, which would queue urgent generations behind patient ones.
+void test.test('an urgent generation does not wait behind patient ones of the same account priority', () => {
+  const harness = new coordinatorTestHarness.CoordinatorTestHarness(1, 2).start();
   for (let index = 0; index < 4; index += 1) {
-    bench.ask(`long-${index}`, `long-${index}`, LONG);
+    harness.requestPlacement(`long-${index}`, `long-${index}`, LONG);
   }
-  bench.pass(40);
-  assert.equal(bench.stateOf('long-3'), 'waiting');
-  bench.end('long-0');
-  bench.ask('short', 'short', SHORT);
-  bench.pass(60);
-  assert.equal(bench.stateOf('short'), 'placed');
-  assert.equal(bench.stateOf('long-3'), 'waiting');
+  harness.advance(40);
+  assert.equal(harness.stateOf('long-3'), 'waiting');
+  harness.finish('long-0');
+  harness.requestPlacement('short', 'short', SHORT);
+  harness.advance(60);
+  assert.equal(harness.stateOf('short'), 'placed');
+  assert.equal(harness.stateOf('long-3'), 'waiting');
 });
 
-// Learnt as one kind, short answers make every report look short: engines take more of them than fit, and preempt.
-void test.test('lengths of short and long generations are learnt apart', () => {
+// Guards against underestimating long generations, which would overcommit engines and cause preemption.
+void test.test('output lengths are observed separately for each rank', () => {
   const forecast = new lengthForecast.LengthForecast();
   const factsOf = (rank: number): types.GenerationFacts => ({
     ...{ identity: 'g', service: 'llm', promptTokens: 3_000, outputLimit: 2_000, lengthHint: 0 },
     ...{ rank, account: 'school' },
   });
   for (let count = 0; count < 40; count += 1) {
-    forecast.learn(factsOf(SHORT), 10);
-    forecast.learn(factsOf(LONG), 750);
+    forecast.observe(factsOf(SHORT), 10);
+    forecast.observe(factsOf(LONG), 750);
   }
-  assert.equal(forecast.expectedOutput(factsOf(SHORT), 0), 10);
-  assert.equal(forecast.expectedOutput(factsOf(LONG), 0), 750);
+  assert.equal(forecast.totalOutput(factsOf(SHORT), 0), 10);
+  assert.equal(forecast.totalOutput(factsOf(LONG), 0), 750);
 });
--- a/packages/kumquatfront/src/placement/ranks.ts
+++ b/packages/kumquatfront/src/placement/ranks.ts
@@ -1,25 +1,23 @@
 /**
- * The rank of a generation: that of its client account first, then that of its route.
- *
- * Pattern: all accounts have the same priority. Were it taken in place of the route's, short answers would wait behind
- * long reports for the same places, and their lengths be learnt as one kind.
+ * Combines the priorities of client account and route into one rank. The account takes precedence; the route keeps
+ * urgent and patient generations apart where all accounts have the same priority.
  */
 
-/** Ranks that one account's routes may have; a priority beyond them counts as the last. */
+/** Number of ranks per account priority; higher route priorities share the last one. */
 const ROUTE_RANKS = 100;
 
-/** Generations on a route of this priority or above it are patient; those below are urgent. */
+/** Lowest route priority value whose generations are patient; those below are urgent. */
 const PATIENT_PRIORITY = 1;
 
 /**
- * Rank of a generation; 0 goes first.
+ * Computes the rank of a generation; 0 is scheduled first.
  *
  * @param routePriority - priority of its route, 0 or above
- * @param accountPriority - priority of its client account, where it has one
- * @returns a number that orders generations
+ * @param accountPriority - priority of its client account, if any
+ * @returns the rank, by which generations are ordered
  * @example
  * ```ts
- * ranks.of(0, 1) < ranks.of(1, 1); // true
+ * ranks.fromPriorities(0, 1) < ranks.fromPriorities(1, 1); // true
  * ```
  */
 export function of(routePriority: number, accountPriority = 0): number {
@@ -27,12 +25,13 @@
 }
 
 /**
- * True for a generation that may wait longer and takes less of an engine's memory.
+ * Returns whether a generation is patient: it may be refused earlier and is subject to a lower memory limit than an
+ * urgent one.
  *
- * @param rank - its rank
+ * @param rank - rank of the generation
  * @example
  * ```ts
- * ranks.isPatient(ranks.of(1)); // true
+ * ranks.isPatient(ranks.fromPriorities(1)); // true
  * ```
  */
 export function isPatient(rank: number): boolean {
--- a/packages/kumquatfront/src/placement/timeliness.ts
+++ b/packages/kumquatfront/src/placement/timeliness.ts
@@ -1,36 +1,32 @@
 /**
- * Whether a generation that waits can still have its first event in time.
- *
- * Pattern: under more load than fits, generations that are late already take the memory that others, still in
- * time, needed: everybody ends up late. Late ones go where there is slack, and are told early where there is none.
- * Grounds: on stand-in engines under one and a half times the load that fits, this raises what callers earn from
- * 58 to 74 in 100 (`npm run measure:fleet`).
+ * Determines whether a queued generation can still meet its objective for the first event. Under overload, late
+ * generations only get spare capacity; otherwise they would make all the others late.
  */
 import type * as ports from '../kernel/ports.js';
 import type * as types from './types.js';
 
-/** `unattainable`: even an idle engine would need longer than the objective, so that lateness decides nothing. */
+/** `unattainable`: not even an idle engine could meet the objective; such requests are not treated as late. */
 export type Timeliness = 'inTime' | 'late' | 'unattainable';
 
 /**
- * Judges one that waits.
+ * Classifies a queued request.
  *
- * @param request - its question
- * @param waited - milliseconds since the question
- * @param needed - milliseconds from a place on an idle engine to the first event
- * @returns the verdict
+ * @param request - the placement request
+ * @param waited - milliseconds since the request arrived
+ * @param timeToFirstEvent - milliseconds from placement on an idle engine to the first event
+ * @returns whether the objective can still be met
  * @example
  * ```ts
- * timeliness.judge(request, 400, pace.timeToFirstEvent('llm', 3000));
+ * timeliness.classify(request, 400, estimator.timeToFirstEvent('llm', 3000));
  * ```
  */
-export function judge(
+export function classify(
   request: types.PlacementRequest,
   waited: ports.Milliseconds,
-  needed: ports.Milliseconds,
+  timeToFirstEvent: ports.Milliseconds,
 ): Timeliness {
-  if (needed > request.objective) {
+  if (timeToFirstEvent > request.objective) {
     return 'unattainable';
   }
-  return request.objectiveLeft - waited < needed ? 'late' : 'inTime';
+  return request.objectiveLeft - waited < timeToFirstEvent ? 'late' : 'inTime';
 }
--- a/packages/kumquatfront/src/placement/types.ts
+++ b/packages/kumquatfront/src/placement/types.ts
@@ -1,94 +1,93 @@
 /**
- * Messages between entries and the coordinator that places and moves generations for the whole system.
- * Times are milliseconds, sizes are tokens.
+ * Messages between entries and the placement coordinator. Times are in milliseconds, sizes in tokens.
  */
 import type * as instanceTypes from '../instances/types.js';
 import type * as ports from '../kernel/ports.js';
 
-/** What is known of a generation before and while it runs. */
+/** Attributes of a generation that determine its placement; they do not change while it runs. */
 export interface GenerationFacts {
   readonly identity: string;
   readonly service: string;
   readonly promptTokens: number;
-  /** Output never exceeds this. */
+  /** Upper bound of the output length. */
   readonly outputLimit: number;
-  /** The caller's guess of the output; right at the median, often far off. 0 where there is none. */
+  /** The caller's estimate of the output length, often inaccurate; 0 where the caller gives none. */
   readonly lengthHint: number;
-  /** 0 is the most urgent. */
+  /** Scheduling priority; 0 is the most urgent. */
   readonly rank: number;
-  /** Client account; empty where there is none. */
+  /** Client account; empty for anonymous callers. */
   readonly account: string;
-  /** Data centres in which it may run; absent where any will do. */
+  /** Data centres in which it may run; absent if unrestricted. */
   readonly dataCentres?: readonly string[];
 }
 
-/** Asks for a place on an engine. */
+/** An entry's request to place one generation on an engine. */
 export interface PlacementRequest {
   readonly facts: GenerationFacts;
   readonly entry: string;
   readonly dataCentre: string;
-  /** Identities of engines that the asker does not want. */
+  /** Identities of engines that must not be selected. */
   readonly excluded: readonly string[];
-  /** What this question and the next one of the same caller, after a refusal, have in common. */
+  /** Fingerprint that a refused request and the caller's retry of it share. */
   readonly likeness: string;
-  /** Time to the first event that the route promises, counted from the caller's first question. */
+  /** The route's objective for the time to the first event, counted from the caller's first attempt. */
   readonly objective: ports.Milliseconds;
-  /** What is left of it, counted from now. */
+  /** Remaining part of the objective, counted from now. */
   readonly objectiveLeft: ports.Milliseconds;
-  /** Time after which a place is of no use any more. */
+  /** Maximum time to wait in the queue. */
   readonly patience: ports.Milliseconds;
 }
 
-/** A place on an engine. */
+/** The engine selected for a generation. */
 export interface Placement {
   readonly instance: string;
 }
 
-/** Answers a request for a place. */
+/** Response to a placement request. */
 export type PlacementAnswer =
   | ({ readonly state: 'placed' } & Placement)
-  /** Nothing was started; `retryAfter` is when a place is likely. */
+  /** Nothing was started; `retryAfter` is the estimated time until an engine has free capacity. */
   | { readonly state: 'refused'; readonly retryAfter: ports.Milliseconds; readonly reason: string };
 
-/** A generation that runs, as its entry sees it. */
+/** State of a running generation as reported by its entry. */
 export interface RunningGeneration {
   readonly facts: GenerationFacts;
   readonly instance: string;
-  /** Output tokens made so far. */
+  /** Output tokens produced so far. */
   readonly produced: number;
-  /** True once the first event came, so that there is memory to move. */
+  /** True after the first event, when the engine holds memory that can be moved. */
   readonly started: boolean;
 }
 
-/** Everything that one entry has running; the newest report replaces the one before. */
+/** All running generations of one entry; each report replaces the previous one. */
 export interface EntryReport {
   readonly entry: string;
-  /** Where the entry is told to move generations: `ip:port`. */
+  /** Address to which move commands for this entry are sent: `ip:port`. */
   readonly address: string;
-  /** New at each start of the entry. */
+  /** Changes at each start of the entry. */
   readonly epoch: string;
   readonly sequence: number;
   readonly generations: readonly RunningGeneration[];
-  /** Generations that ended by themselves since the last report, with their whole output. */
+  /** Generations completed since the last report, with their final output length. */
   readonly finished: readonly FinishedGeneration[];
-  /** Engines among those above that have given notice to this entry's knowledge. */
+  /** Engines of these generations from which the entry has received a termination notice. */
   readonly leaving: readonly string[];
-  /** Instances that other replicas list and the one that gets this report does not. */
+  /** Instances listed by other replicas but not by the recipient of this report. */
   readonly unlisted: readonly instanceTypes.Announcement[];
 }
 
-/** A generation that ended by itself. */
+/** A completed generation. */
 export interface FinishedGeneration {
   readonly facts: GenerationFacts;
   readonly produced: number;
 }
 
-/** Tells an entry to move one generation to another engine. */
+/** Command to an entry to move one generation to another engine. */
 export interface MoveCommand {
   readonly identity: string;
   readonly source: string;
   readonly target: string;
 }
 
-/** How a move ended: `moved` counts once the source has stopped the run. */
+/** Result of a move; `moved` means that the source has stopped the generation. */
 export type MoveOutcome = 'moved' | 'ended' | 'failed';
--- a/packages/scenarios/src/scripts/dataCentreSafeguards.ts
+++ b/packages/scenarios/src/scripts/dataCentreSafeguards.ts
@@ -50,8 +50,8 @@
   {
     name: 'the coordinator places nothing in an evacuated data centre',
     file: 'placement/enginePool.js',
-    find: 'engine.leaving || engine.evacuated || excluded',
-    replace: 'engine.leaving || excluded',
+    find: 'engine.draining || engine.evacuated || excluded',
+    replace: 'engine.draining || excluded',
     scenario: 'spec:placement/evacuation',
   },
   {
@@ -78,7 +78,7 @@
   {
     name: 'the coordinator places on a cold engine what it tolerates',
     file: 'placement/enginePool.js',
-    find: ' || !toleratesMore',
+    find: ' || !isUnderRateLimit',
     replace: '',
     scenario: 'spec:placement/coordinator',
   },
