--- a/packages/kumquatfront/src/trafficControl/controlBench.ts
+++ b/packages/kumquatfront/src/trafficControl/controlBench.ts
@@ -1,5 +1,5 @@
 /**
- * Control replicas and entries' watches on virtual time, over peers and disks in memory, for the specs.
+ * Test harness that runs control replicas and watches of entries on virtual time, with in-memory transport and disks.
  */
 import * as seededRandom from '../adapters/seededRandom.js';
 import type * as agreedTypes from '../agreedState/types.js';
@@ -23,7 +23,7 @@
 
 const LATENCY: ports.Milliseconds = 1;
 
-/** A disk that keeps what was written; losing it is making a new one. */
+/** In-memory disk that survives the restart of a process. */
 class Disk implements ports.Disk {
   private readonly files = new Map<string, Buffer>();
 
@@ -47,103 +47,115 @@
   }
 }
 
-/** Names of the data centres that the bench's settings tell. */
+/** Names of the data centres in the harness settings. */
 export const DATA_CENTRES: readonly string[] = ['a', 'b', 'c'];
 
-/** Region of each of them. */
+/** Region of each data centre. */
 export const REGIONS: residency.Regions = new Map([
   ['a', 'west'],
   ['b', 'west'],
   ['c', 'east'],
 ]);
 
-/** A process on the bench: its life ends when it is killed, and its messages with it. */
-interface Life {
+/** Simulated process; once killed, it neither sends nor receives messages. */
+interface TestProcess {
   readonly address: string;
   readonly handlers: Map<string, ports.PeerHandler>;
   alive: boolean;
 }
 
-/** The text of a configuration, as the bench's decoder reads it: its version, or `bad`. */
-export function textOf(version: number): string {
+/** Encodes a configuration for the harness decoder, which accepts a version number. */
+export function configurationText(version: number): string {
   return String(version);
 }
 
-/** What every configuration on the bench has beside its version. */
-export type Configured = Pick<trafficTypes.TrafficConfiguration, 'routes' | 'services' | 'accounts'>;
+/** Parts that all configurations of a harness have in common. */
+export type ConfigurationFixture = Pick<
+  trafficTypes.TrafficConfiguration,
+  'routes' | 'services' | 'accounts'
+>;
 
-function createDecoder(configured: Configured): trafficTypes.DecodeTraffic {
+function createDecoder(fixture: ConfigurationFixture): trafficTypes.DecodeTraffic {
   return (text) => {
     const version = Number(text);
     if (!Number.isInteger(version)) {
-      return results.Err(failures.create('badInput', 'It is no number.', 'Send a number.'));
+      return results.Err(
+        failures.create('badInput', 'The configuration is not a version number.', 'Send a number.'),
+      );
     }
     const limits = { headerBytes: 1, bodyBytes: 1, headerTimeout: 1, idleTimeout: 1 };
-    return results.Ok({ version, limits, ...configured });
+    return results.Ok({ version, limits, ...fixture });
   };
 }
 
-/** An announcement of an instance. */
+/** Creates an announcement of an instance. */
 export function announcementOf(identity: string, sequence: number): instanceTypes.Announcement {
   return instanceBench.announcement(identity, { address: `${identity}:80`, sequence });
 }
 
-/** A replica named `b/c4` is in data centre b, one without a slash in a. */
+/** Data centre of a replica: `b` for `b/c4`, and `a` for a name without a slash. */
 function dataCentreOf(address: string): string {
   return address.includes('/') ? (address.split('/', 1)[0] ?? '') : 'a';
 }
 
-/** The bench; see the module comment. */
+/** Runs control replicas and entries as simulated processes. */
 export class ControlBench {
   readonly time = new virtualTime.VirtualTime();
   readonly seeds: readonly string[];
-  /** Pairs of addresses that cannot reach each other. */
-  private readonly cuts = new Set<string>();
-  private readonly lives = new Map<string, Life>();
+  /** Pairs of addresses that cannot reach each other, each sorted and joined by a space. */
+  private readonly partitions = new Set<string>();
+  private readonly processes = new Map<string, TestProcess>();
   private readonly disks = new Map<string, Disk>();
   private readonly nodes = new Map<string, controlNode.ControlNode>();
   private readonly random: ports.Random;
   private readonly log: ports.Log;
   private readonly decode: trafficTypes.DecodeTraffic;
-  /** Replica that sent a configuration last. */
-  lastTextFrom = '';
-  private readonly textsSent = new Map<string, number>();
+  /** Address of the replica that sent a configuration last. */
+  lastConfigurationFrom = '';
+  private readonly configurationsSent = new Map<string, number>();
 
   /**
-   * @param seeds - addresses of the replicas that all start new
-   * @param toleratedLosses - how many of them may be lost at once
-   * @param configured - routes, services and accounts of all configurations
-   * @param seed - of what is drawn at random
+   * @param seeds - addresses of the replicas that are started, all with empty disks
+   * @param toleratedLosses - number of replicas that may be lost at once
+   * @param fixture - routes, services and accounts of all configurations
+   * @param seed - seed of the random number generator
    */
   constructor(
     seeds: readonly string[],
     private readonly toleratedLosses = 1,
-    configured: Configured = { routes: [], services: [] },
+    fixture: ConfigurationFixture = { routes: [], services: [] },
     seed = 3,
   ) {
     this.random = seededRandom.create(seed);
-    this.decode = createDecoder(configured);
-    const silent = (): void => undefined;
-    this.log = { debug: silent, info: silent, warn: silent, error: silent };
+    this.decode = createDecoder(fixture);
+    const noop = (): void => undefined;
+    this.log = { debug: noop, info: noop, warn: noop, error: noop };
     this.seeds = seeds;
     for (const seed of seeds) {
       this.start(seed, true);
     }
   }
 
-  private transportOf(life: Life): ports.PeerTransport {
+  private transportOf(testProcess: TestProcess): ports.PeerTransport {
     const deliver = (address: string, method: string, parameters: unknown, reply: ports.Reply): void => {
       this.time.after(LATENCY, () => {
-        const target = this.lives.get(address);
-        if (life.alive && target?.alive === true && !this.isCut(life.address, address)) {
-          // Messages travel as JSON: nothing shared may pass.
-          target.handlers.get(method)?.(JSON.parse(JSON.stringify(parameters)), (result) => {
+        const receiver = this.processes.get(address);
+        if (
+          testProcess.alive &&
+          receiver?.alive === true &&
+          !this.isPartitioned(testProcess.address, address)
+        ) {
+          // Serialized like on the wire, so that processes share no objects.
+          receiver.handlers.get(method)?.(JSON.parse(JSON.stringify(parameters)), (result) => {
             if (JSON.stringify(result).includes('"text"')) {
-              this.lastTextFrom = address;
-              this.textsSent.set(life.address, this.textsSentTo(life.address) + 1);
+              this.lastConfigurationFrom = address;
+              this.configurationsSent.set(
+                testProcess.address,
+                this.configurationsSentTo(testProcess.address) + 1,
+              );
             }
             this.time.after(LATENCY, () => {
-              if (life.alive && target.alive && !this.isCut(life.address, address)) {
+              if (testProcess.alive && receiver.alive && !this.isPartitioned(testProcess.address, address)) {
                 reply(result);
               }
             });
@@ -155,13 +167,15 @@
       request: (address, method, parameters, timeout, done) => {
         let open = true;
         const finish: ports.Reply = (result) => {
-          if (open && life.alive) {
+          if (open && testProcess.alive) {
             open = false;
             done(result);
           }
         };
         this.time.after(timeout, () => {
-          finish(results.Err(failures.create('timeout', 'No answer.', 'Ask again.')));
+          finish(
+            results.Err(failures.create('timeout', 'The peer did not answer in time.', 'Retry the request.')),
+          );
         });
         deliver(address, method, parameters ?? null, finish);
       },
@@ -169,44 +183,51 @@
         deliver(address, method, parameters, () => undefined);
       },
       serve: (method, handler) => {
-        life.handlers.set(method, handler);
+        testProcess.handlers.set(method, handler);
       },
     };
   }
 
-  /** Configurations that were sent to an entry. */
-  textsSentTo(name: string): number {
-    return this.textsSent.get(name) ?? 0;
+  /** Number of configurations sent to an entry. */
+  configurationsSentTo(name: string): number {
+    return this.configurationsSent.get(name) ?? 0;
   }
 
-  private isCut(one: string, other: string): boolean {
-    return this.cuts.has([one, other].sort().join(' '));
+  private isPartitioned(one: string, other: string): boolean {
+    return this.partitions.has([one, other].sort().join(' '));
   }
 
-  private live(address: string): Life {
-    const life: Life = { address, handlers: new Map(), alive: true };
-    this.lives.set(address, life);
-    return life;
+  private startProcess(address: string): TestProcess {
+    const testProcess: TestProcess = { address, handlers: new Map(), alive: true };
+    this.processes.set(address, testProcess);
+    return testProcess;
   }
 
-  private basePorts(life: Life): ports.BasePorts {
-    const silent = (): void => undefined;
+  private basePorts(testProcess: TestProcess): ports.BasePorts {
+    const noop = (): void => undefined;
     const scheduler: ports.Scheduler = {
       after: (delay, run) =>
         this.time.after(delay, () => {
-          if (life.alive) {
+          if (testProcess.alive) {
             run();
           }
         }),
     };
-    const metrics = { count: silent, gauge: silent, timing: silent };
+    const metrics = { count: noop, gauge: noop, timing: noop };
     const { clock } = this.time;
-    return { clock, scheduler, random: this.random, peers: this.transportOf(life), log: this.log, metrics };
+    return {
+      clock,
+      scheduler,
+      random: this.random,
+      peers: this.transportOf(testProcess),
+      log: this.log,
+      metrics,
+    };
   }
 
-  /** Starts a replica; on the disk that it had, where there is one. */
+  /** Starts a replica, on its former disk if it has one. */
   start(address: string, firstStart = false): void {
-    const life = this.live(address);
+    const testProcess = this.startProcess(address);
     const disk = this.disks.get(address) ?? new Disk(this.time);
     this.disks.set(address, disk);
     const created = controlNode.create(
@@ -220,15 +241,15 @@
         toleratedLosses: this.toleratedLosses,
         regions: REGIONS,
       },
-      { ...this.basePorts(life), disk, decodeTraffic: this.decode },
+      { ...this.basePorts(testProcess), disk, decodeTraffic: this.decode },
     );
     this.nodes.set(address, created.unwrap());
   }
 
   kill(address: string): void {
-    const life = this.lives.get(address);
-    if (life !== undefined) {
-      life.alive = false;
+    const testProcess = this.processes.get(address);
+    if (testProcess !== undefined) {
+      testProcess.alive = false;
     }
   }
 
@@ -238,22 +259,22 @@
   }
 
   cut(one: string, other: string): void {
-    this.cuts.add([one, other].sort().join(' '));
+    this.partitions.add([one, other].sort().join(' '));
   }
 
   heal(): void {
-    this.cuts.clear();
+    this.partitions.clear();
   }
 
-  /** A replica that runs; undefined where none does. */
+  /** Returns the address of a running seed replica; undefined if none runs. */
   anyAlive(): string | undefined {
-    return this.seeds.find((seed) => this.lives.get(seed)?.alive === true);
+    return this.seeds.find((seed) => this.processes.get(seed)?.alive === true);
   }
 
   private node(address: string): controlNode.ControlNode {
     const node = this.nodes.get(address);
     if (node === undefined) {
-      throw new Error(`nothing was started at ${address}`);
+      throw new Error(`no replica was started at ${address}`);
     }
     return node;
   }
@@ -262,17 +283,17 @@
     return this.node(address).services.find('traffic');
   }
 
-  /** Sends a configuration to a replica; true where it is acknowledged within a second. */
+  /** Sends a configuration to a replica; returns true if it is acknowledged within a second. */
   replace(address: string, version: number): boolean {
     let acknowledged = false;
-    this.trafficOf(address).replace(textOf(version), (result) => {
+    this.trafficOf(address).replace(configurationText(version), (result) => {
       acknowledged = result.ok;
     });
     this.time.advance(1_000);
     return acknowledged;
   }
 
-  /** Orders a replica to evacuate or restore a data centre; true where it is acknowledged within a second. */
+  /** Sends an evacuate or restore call to a replica; returns true if it is acknowledged within a second. */
   order(address: string, type: agreedTypes.DataCentreCommand['type'], dataCentre: string): boolean {
     let acknowledged = false;
     this.trafficOf(address).orderDataCentre({ type, dataCentre }, (result) => {
@@ -282,13 +303,13 @@
     return acknowledged;
   }
 
-  /** Data centres that are evacuated to the knowledge of a replica. */
+  /** Data centres that are evacuated according to a replica. */
   evacuatedAt(address: string): readonly string[] {
     const { evacuations } = this.node(address).services.find('state');
-    return evacuations.dataCentres.map((held) => held.dataCentre);
+    return evacuations.dataCentres.map((record) => record.dataCentre);
   }
 
-  /** Reads from a replica; the version, or undefined where it gives none within a second. */
+  /** Reads the configuration version from a replica; undefined if it returns none within a second. */
   read(address: string): number | undefined {
     let version: number | undefined;
     this.trafficOf(address).read((result) => {
@@ -298,24 +319,25 @@
     return version;
   }
 
-  /** Names of the voters that the leader counts; empty where nobody leads. */
+  /** Names of the voters according to the leader; empty if there is no leader. */
   voters(): readonly string[] {
     const members = this.nodes.get(this.leader())?.services.find('replica').status().members ?? [];
     return members.filter((member) => member.role === 'voter').map((member) => member.name);
   }
 
-  /** Address of the replica that leads; empty where none does. */
+  /** Address of the leader; empty if there is none. */
   leader(): string {
     const found = [...this.nodes].find(
-      ([address, node]) => this.lives.get(address)?.alive === true && node.services.find('replica').mayLead(),
+      ([address, node]) =>
+        this.processes.get(address)?.alive === true && node.services.find('replica').mayLead(),
     );
     return found?.[0] ?? '';
   }
 
-  /** Starts a whole entry; one that ran under its name is gone. */
+  /** Starts a complete entry, and kills a running one of the same name. */
   startEntry(name: string, upstreams: relayTypes.UpstreamPort): trafficEntry.TrafficEntry {
     this.kill(name);
-    const base = this.basePorts(this.live(name));
+    const base = this.basePorts(this.startProcess(name));
     const settings: trafficEntry.TrafficEntrySettings = {
       name,
       dataCentre: 'a',
@@ -329,16 +351,16 @@
     return new trafficEntry.TrafficEntry(settings, { ...base, upstreams, decodeTraffic: this.decode });
   }
 
-  /** An entry that watches control. */
+  /** Starts an entry that only watches the control replicas, and records what it receives. */
   watch(name: string): {
-    readonly taken: trafficTypes.VersionedText[];
+    readonly configurations: trafficTypes.VersionedText[];
     readonly evacuations: agreedTypes.Evacuations[];
     readonly view: instanceView.InstanceView;
     readonly watch: controlWatch.ControlWatch;
   } {
-    const life = this.live(name);
-    const base = this.basePorts(life);
-    const taken: trafficTypes.VersionedText[] = [];
+    const testProcess = this.startProcess(name);
+    const base = this.basePorts(testProcess);
+    const configurations: trafficTypes.VersionedText[] = [];
     const evacuations: agreedTypes.Evacuations[] = [];
     const view = new instanceView.InstanceView(() => undefined);
     const watch: controlWatch.ControlWatch = new controlWatch.ControlWatch({
@@ -353,15 +375,15 @@
         callerAddress: `${name}:1`,
         peerAddress: name,
         state: 'ready',
-        trafficVersion: taken.at(-1)?.version ?? 0,
+        trafficVersion: configurations.at(-1)?.version ?? 0,
       }),
       instances: view,
-      onTraffic: (traffic) => taken.push(traffic),
+      onTraffic: (traffic) => configurations.push(traffic),
       onCoordinator: () => undefined,
       onCases: () => undefined,
-      onEvacuations: (news) => evacuations.push(news),
+      onEvacuations: (update) => evacuations.push(update),
       onReplicaStarted: () => undefined,
     });
-    return { taken, evacuations, view, watch };
+    return { configurations, evacuations, view, watch };
   }
 }
--- a/packages/kumquatfront/src/trafficControl/controlWatch.ts
+++ b/packages/kumquatfront/src/trafficControl/controlWatch.ts
@@ -1,7 +1,7 @@
 /**
- * An entry's watch over control: it asks every replica that it can find for news, all at the same time, and
- * takes the newest. A leader that is cut off from the others may still reach entries, so no single replica
- * is trusted to know. Two of them tell of news at once, the others within a second; see `openWatches`.
+ * An entry's watch on the control replicas: a long poll to every known replica in parallel, of which the newest state
+ * wins. No single replica is sufficient, because a leader that is partitioned from the other replicas may still reach
+ * entries. Two preferred replicas send updates immediately, the others when the watch closes; see `openWatches`.
  */
 import type * as agreedTypes from '../agreedState/types.js';
 import type * as instanceTypes from '../instances/types.js';
@@ -14,27 +14,24 @@
 import type * as trafficTypes from '../traffic/types.js';
 import * as rendezvous from '../utils/rendezvous.js';
 import * as methods from './methods.js';
-import * as trafficFetch from './trafficFetch.js';
+import * as trafficConfigurationFetcher from './trafficConfigurationFetcher.js';
 
-/** A watch without an answer for this long has lost its replica: twice the longest time it stays open. */
+/** Timeout of a watch request; twice the maximum time a replica keeps a watch open. */
 const WATCH_TIMEOUT: ports.Milliseconds = 1_400;
 
-/**
- * Pause after a watch that failed. After a fault of everything an entry serves nobody before its first answer; three
- * lost replicas cost it twenty small messages a second.
- */
-const FAILED_PAUSE: ports.Milliseconds = 120;
+/** Delay before a failed watch is retried; short, because an entry serves no callers before its first answer. */
+const RETRY_DELAY: ports.Milliseconds = 120;
 
-/** A replica that neither settings nor news name any more is asked for this long yet. */
-const FORGET_AFTER: ports.Milliseconds = 10_000;
+/** Time for which a replica is still retried after neither the settings nor another replica lists it. */
+const UNLISTED_REPLICA_RETENTION: ports.Milliseconds = 10_000;
 
-/** Until this long after the first answer replicas that started together may not have heard from all entries. */
-const COUNT_SETTLES: ports.Milliseconds = 1_500;
+/** Time after the first answer during which recently started replicas may not yet know all entries. */
+const ENTRY_COUNT_SETTLE_TIME: ports.Milliseconds = 1_500;
 
-/** A leader counts while a replica has named it this recently. */
-const LEADER_LIFE: ports.Milliseconds = 900;
+/** Time for which a reported leader remains valid without being reported again. */
+const LEADER_TTL: ports.Milliseconds = 900;
 
-/** What the watch is made from. */
+/** Settings, dependencies and callbacks of {@link ControlWatch}. */
 export interface ControlWatchOptions {
   readonly timers: timerService.TimerService;
   readonly peers: ports.PeerTransport;
@@ -43,37 +40,37 @@
   readonly dataCentre: string;
   readonly describe: () => methods.EntryNews;
   readonly instances: instanceView.InstanceView;
-  /** Takes a configuration in; called with ever higher versions only. */
+  /** Called with each new configuration, in increasing order of version. */
   readonly onTraffic: (traffic: trafficTypes.VersionedText) => void;
   readonly onCoordinator: (address: string) => void;
-  /** Takes in what a replica knows of contents under which upstreams ended. */
+  /** Called with the records that a replica sends of contents that crashed upstreams. */
   readonly onCases: (cases: readonly quarantineTypes.CaseRecord[]) => void;
-  /** Takes in which data centres are evacuated; called with ever higher revisions only. */
+  /** Called when the set of evacuated data centres changes, in increasing order of revision. */
   readonly onEvacuations: (evacuations: agreedTypes.Evacuations) => void;
-  /** A replica answers for the first time since it started. */
+  /** Called with the first answer of a replica since the replica started. */
   readonly onReplicaStarted: (address: string) => void;
 }
 
-interface Watched {
-  namedAt: ports.Milliseconds;
+interface WatchedReplica {
+  lastListedAt: ports.Milliseconds;
   answering: boolean;
-  /** Where the replica is; undefined before its first answer. */
+  /** Data centre of the replica; undefined before its first answer. */
   dataCentre: string | undefined;
-  /** Control replicas that it has told of. */
+  /** Addresses of the control replicas that this one last sent. */
   control: readonly string[];
-  /** Entries that it hears from. */
+  /** Number of entries that the replica reports. */
   entryCount: number;
-  /** Its start that this entry has heard of; empty before its first answer. */
+  /** Epoch of the replica in its last answer; empty before its first answer. */
   epoch: string;
-  /** Revision of the cases that it has told of in this epoch. */
+  /** Revision of the crash records received from the replica in this epoch. */
   caseRevision: number;
-  /** Counts questions, so that the answer to a former one starts no second loop. */
+  /** Incremented with each request, so that the answer to a superseded one starts no second request loop. */
   round: number;
 }
 
-function createWatched(namedAt: ports.Milliseconds): Watched {
+function createWatchedReplica(lastListedAt: ports.Milliseconds): WatchedReplica {
   return {
-    namedAt,
+    lastListedAt,
     answering: false,
     dataCentre: undefined,
     control: [],
@@ -84,13 +81,16 @@
   };
 }
 
-type WatchedReplica = readonly [address: string, watched: Watched];
+type AddressedReplica = readonly [address: string, watched: WatchedReplica];
 
-/** One of the preferred replicas by rendezvous, or of all where none is preferred; empty where there is none. */
-function pickFirst(
+/**
+ * Picks one of the preferred replicas by rendezvous hashing, or one of all replicas if none is preferred; empty if
+ * there are no replicas.
+ */
+function pickByRendezvous(
   key: string,
-  replicas: readonly WatchedReplica[],
-  isPreferred: (watched: Watched) => boolean,
+  replicas: readonly AddressedReplica[],
+  isPreferred: (watched: WatchedReplica) => boolean,
 ): string {
   const preferred = replicas.filter(([, watched]) => isPreferred(watched));
   const candidates = preferred.length > 0 ? preferred : replicas;
@@ -98,47 +98,53 @@
   return rendezvous.pick(key, addresses) ?? '';
 }
 
-function nothingNew(position: {
+function emptyUpdate(position: {
   readonly epoch: string;
   readonly revision: number;
 }): instanceTypes.InstanceNews {
   return { ...position, whole: false, records: [], removed: [] };
 }
 
-/** The watch; see the module comment. */
+/** Keeps a watch open at every known control replica and applies the answers. */
 export class ControlWatch {
   private readonly options: ControlWatchOptions;
-  private readonly watched = new Map<string, Watched>();
+  private readonly watched = new Map<string, WatchedReplica>();
   private seeds: readonly string[];
-  private readonly fetch: trafficFetch.TrafficFetch;
+  private readonly fetcher: trafficConfigurationFetcher.TrafficConfigurationFetcher;
   private leader = { term: 0, address: '', namedAt: Number.NEGATIVE_INFINITY };
   private evacuationRevision = 0;
   private firstAnswerAt = Number.POSITIVE_INFINITY;
-  /** Address of the replica that tells of everything at once; empty where none answers. */
+  /** Address of the replica that sends all updates immediately; empty if no replica responds. */
   private nearest = '';
-  /** Address of the one that tells of notices and configurations at once too; empty where only one answers. */
-  private second = '';
+  /**
+   * Address of the replica that also sends termination notices, crash records and configurations immediately; empty if
+   * fewer than two respond.
+   */
+  private backup = '';
 
   constructor(options: ControlWatchOptions) {
     this.options = options;
-    this.fetch = new trafficFetch.TrafficFetch({ ...options, preferred: () => this.nearest });
+    this.fetcher = new trafficConfigurationFetcher.TrafficConfigurationFetcher({
+      ...options,
+      preferredReplica: () => this.nearest,
+    });
     this.seeds = options.seeds;
-    this.addAll(options.seeds);
+    this.watchAll(options.seeds);
   }
 
-  /** Replaces the addresses of the settings. */
+  /** Replaces the seed addresses and watches the new ones. */
   setSeeds(seeds: readonly string[]): void {
     this.seeds = seeds;
-    this.addAll(seeds);
+    this.watchAll(seeds);
   }
 
   /**
-   * Peer address of the coordinator: the leader, or without one the first replica that answers, which is the
-   * same for all entries that see the same replicas. Empty where none answers.
+   * Peer address of the coordinator: the leader, or without one the responding replica with the lowest address, which
+   * is the same for all entries that reach the same replicas. Empty if no replica responds.
    */
   get coordinator(): string {
     const { timers } = this.options;
-    if (timers.now() - this.leader.namedAt < LEADER_LIFE) {
+    if (timers.now() - this.leader.namedAt < LEADER_TTL) {
       return this.leader.address;
     }
     const answering = [...this.watched].filter(([, watched]) => watched.answering);
@@ -146,64 +152,64 @@
   }
 
   /**
-   * This entry as a share of all, by the replica that hears from most; 0 while that is not known yet.
+   * This entry's share of limits that all entries divide, as a fraction; 0 while the number of entries is unknown.
    *
-   * A replica that has just started hears from one entry after another. Taken at its word, each of two hundred
-   * entries would think that it is one of a few, and use for itself what is meant for all.
+   * A recently started replica knows only some of the entries. With its count each entry would take a share that is
+   * too large.
    */
   get shareOfEntries(): number {
     const now = this.options.timers.now();
-    return now - this.firstAnswerAt < COUNT_SETTLES ? 0 : 1 / Math.max(1, this.entryCount);
+    return now - this.firstAnswerAt < ENTRY_COUNT_SETTLE_TIME ? 0 : 1 / Math.max(1, this.entryCount);
   }
 
-  /** Entries that the replica hears from that hears from most; 0 while none answers, or all may have just started. */
+  /** Highest entry count that a replica reports; 0 while no replica responds or the counts have not settled. */
   get entryCount(): number {
     const now = this.options.timers.now();
-    if (now - this.firstAnswerAt < COUNT_SETTLES) {
+    if (now - this.firstAnswerAt < ENTRY_COUNT_SETTLE_TIME) {
       return 0;
     }
     const answering = [...this.watched.values()].filter((watched) => watched.answering);
     return Math.max(0, ...answering.map(({ entryCount }) => entryCount));
   }
 
-  /** Addresses of the replicas that are watched. */
+  /** Addresses of the watched replicas. */
   replicas(): readonly string[] {
     return [...this.watched.keys()];
   }
 
-  /** Asks every replica at once: this entry has something to tell, such as that it stops. */
+  /** Sends this entry's status to every replica immediately, for example when the entry starts to drain. */
   tellNow(): void {
     for (const [address, watched] of this.watched) {
-      this.ask(address, watched);
+      this.sendWatch(address, watched);
     }
   }
 
-  private addAll(addresses: readonly string[]): void {
+  private watchAll(addresses: readonly string[]): void {
     const now = this.options.timers.now();
     for (const address of addresses) {
       const known = this.watched.get(address);
       if (known === undefined) {
-        const watched = createWatched(now);
+        const watched = createWatchedReplica(now);
         this.watched.set(address, watched);
-        this.ask(address, watched);
+        this.sendWatch(address, watched);
       } else {
-        known.namedAt = now;
+        known.lastListedAt = now;
       }
     }
   }
 
-  private ask(address: string, watched: Watched): void {
+  private sendWatch(address: string, watched: WatchedReplica): void {
     const { peers, describe, instances } = this.options;
     watched.round += 1;
     const { round } = watched;
-    const toldVersion = this.fetch.knownFrom(address);
+    const toldVersion = this.fetcher.knownVersion(address);
     const request: methods.WatchRequest = {
       entry: describe(),
       ...instances.positionOf(address),
       toldVersion,
       toldTerm: this.leader.term,
-      toldAtOnce: this.toldAtOnceBy(address),
-      controlDigest: watched.control.length === 0 ? 0 : methods.digestOf(watched.control),
+      toldAtOnce: this.immediateUpdatesFrom(address),
+      controlDigest: watched.control.length === 0 ? 0 : methods.replicaSetDigest(watched.control),
       caseRevision: watched.caseRevision,
       evacuationRevision: this.evacuationRevision,
     };
@@ -214,108 +220,107 @@
 
   private onAnswer(
     address: string,
-    watched: Watched,
+    watched: WatchedReplica,
     round: number,
     result: results.Result<unknown, failures.Failure>,
   ): void {
     if (result.ok) {
       const answer = result.val as methods.WatchAnswer;
       watched.dataCentre = answer.dataCentre;
-      const found = !watched.answering;
+      const isNewlyResponding = !watched.answering;
       watched.answering = true;
       watched.control = answer.control ?? watched.control;
-      this.take(address, watched, answer);
-      if (found) {
+      this.applyAnswer(address, watched, answer);
+      if (isNewlyResponding) {
         this.options.log.info('controlFound', { control: address });
-        this.choose();
+        this.choosePreferredReplicas();
       }
     } else if (watched.answering) {
       watched.answering = false;
       this.options.log.warn('controlLost', { control: address, reason: result.val.message });
-      this.choose();
+      this.choosePreferredReplicas();
     }
     if (round !== watched.round) {
       return;
     }
     if (result.ok) {
-      this.ask(address, watched);
+      this.sendWatch(address, watched);
       return;
     }
     const { timers } = this.options;
-    const named = this.seeds.includes(address) || timers.now() - watched.namedAt < FORGET_AFTER;
-    if (!named) {
+    const isListed =
+      this.seeds.includes(address) || timers.now() - watched.lastListedAt < UNLISTED_REPLICA_RETENTION;
+    if (!isListed) {
       this.watched.delete(address);
       return;
     }
-    timers.after(FAILED_PAUSE, () => {
+    timers.after(RETRY_DELAY, () => {
       if (round === watched.round) {
-        this.ask(address, watched);
+        this.sendWatch(address, watched);
       }
     });
   }
 
-  private toldAtOnceBy(address: string): methods.ToldAtOnce {
+  private immediateUpdatesFrom(address: string): methods.ImmediateUpdates {
     if (address === this.nearest) {
       return 'instances';
     }
-    return address === this.second ? 'notices' : 'leaders';
+    return address === this.backup ? 'notices' : 'leaders';
   }
 
   /**
-   * Chooses the two replicas that tell of news at once: of those that answer, the nearest in this data centre if there
-   * is any, the second in another one. Entries spread over several by hashing, so that none of them tells all.
+   * Chooses the two replicas that send updates immediately from those that respond: the nearest in this data centre if
+   * there is one, the backup in another. Hashing by entry name distributes the entries over the replicas.
    */
-  private choose(): void {
+  private choosePreferredReplicas(): void {
     const { dataCentre, describe } = this.options;
     const { name } = describe();
     const answering = [...this.watched].filter(([, watched]) => watched.answering);
-    const nearest = pickFirst(name, answering, (watched) => watched.dataCentre === dataCentre);
+    const nearest = pickByRendezvous(name, answering, (watched) => watched.dataCentre === dataCentre);
     const others = answering.filter(([address]) => address !== nearest);
     const nearestDataCentre = this.watched.get(nearest)?.dataCentre;
-    const second = pickFirst(name, others, (watched) => watched.dataCentre !== nearestDataCentre);
-    const former = [this.nearest, this.second];
+    const backup = pickByRendezvous(name, others, (watched) => watched.dataCentre !== nearestDataCentre);
+    const previous = [this.nearest, this.backup];
     this.nearest = nearest;
-    this.second = second;
-    // Their open watches were asked for less.
-    if (nearest !== former[0]) {
-      this.askAgain(nearest);
+    this.backup = backup;
+    // The open watches at these replicas were requested with fewer immediate updates.
+    if (nearest !== previous[0]) {
+      this.renewWatch(nearest);
     }
-    if (!former.includes(second)) {
-      this.askAgain(second);
+    if (!previous.includes(backup)) {
+      this.renewWatch(backup);
     }
   }
 
-  private askAgain(address: string): void {
+  private renewWatch(address: string): void {
     const watched = this.watched.get(address);
     if (watched !== undefined) {
-      this.ask(address, watched);
+      this.sendWatch(address, watched);
     }
   }
 
-  private take(address: string, watched: Watched, answer: methods.WatchAnswer): void {
+  private applyAnswer(address: string, watched: WatchedReplica, answer: methods.WatchAnswer): void {
     const { instances, timers } = this.options;
     const now = timers.now();
-    instances.merge(address, answer.instances ?? nothingNew(instances.positionOf(address)), now);
+    instances.merge(address, answer.instances ?? emptyUpdate(instances.positionOf(address)), now);
     watched.entryCount = answer.entryCount;
-    this.takeCases(address, watched, answer);
-    this.takeEvacuations(answer);
+    this.applyCrashRecords(address, watched, answer);
+    this.applyEvacuations(answer);
     this.firstAnswerAt = Math.min(this.firstAnswerAt, now);
-    // A replica that may be behind is no reason to begin: others could have moved on long ago.
-    if (answer.fresh || this.fetch.inForce > 0) {
-      this.fetch.hear(address, answer.trafficVersion);
+    // An entry must not start on the configuration of a stale replica, which others may have superseded.
+    if (answer.fresh || this.fetcher.versionInForce > 0) {
+      this.fetcher.recordVersion(address, answer.trafficVersion);
     }
-    this.noteLeader(answer, now);
-    this.addAll(watched.control);
+    this.recordLeader(answer, now);
+    this.watchAll(watched.control);
   }
 
-  /**
-   * Cases are taken before a configuration: an entry that starts serves nobody before it knows what is quarantined.
-   */
-  private takeCases(address: string, watched: Watched, { cases }: methods.WatchAnswer): void {
+  /** Runs before a configuration is applied: a starting entry must know the quarantined contents before it serves. */
+  private applyCrashRecords(address: string, watched: WatchedReplica, { cases }: methods.WatchAnswer): void {
     const { instances, onCases, onReplicaStarted } = this.options;
     const { epoch } = instances.positionOf(address);
-    const started = watched.epoch !== epoch;
-    if (started) {
+    const hasRestarted = watched.epoch !== epoch;
+    if (hasRestarted) {
       watched.epoch = epoch;
       watched.caseRevision = 0;
     }
@@ -323,20 +328,20 @@
       watched.caseRevision = Math.max(watched.caseRevision, cases.revision);
       onCases(cases.cases);
     }
-    if (started) {
+    if (hasRestarted) {
       onReplicaStarted(address);
     }
   }
 
-  /** Like cases, before a configuration. A replica that is behind tells of an older state, which changes nothing. */
-  private takeEvacuations({ evacuations }: methods.WatchAnswer): void {
+  /** Runs before a configuration is applied. An older revision, sent by a stale replica, is ignored. */
+  private applyEvacuations({ evacuations }: methods.WatchAnswer): void {
     if (evacuations !== undefined && evacuations.revision > this.evacuationRevision) {
       this.evacuationRevision = evacuations.revision;
       this.options.onEvacuations(evacuations);
     }
   }
 
-  private noteLeader(answer: methods.WatchAnswer, now: number): void {
+  private recordLeader(answer: methods.WatchAnswer, now: number): void {
     const { leaderTerm: term, leaderAddress } = answer;
     if (leaderAddress === '' || term < this.leader.term) {
       return;
--- a/packages/kumquatfront/src/trafficControl/dataCentreLoss.spec.ts
+++ b/packages/kumquatfront/src/trafficControl/dataCentreLoss.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The loss of a whole data centre with every control replica in it, also after repairs.
+ * Loss of a data centre with all its control replicas, also after repairs of the membership.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -8,63 +8,65 @@
 
 const CATCH_UP = 6_000;
 
-function founded(seeds: readonly string[], toleratedLosses: number): controlBench.ControlBench {
-  const bench = new controlBench.ControlBench(seeds, toleratedLosses);
-  bench.time.advance(6_000);
-  assert.equal(bench.replace(seeds[0] ?? '', 7), true);
-  return bench;
+function createCluster(seeds: readonly string[], toleratedLosses: number): controlBench.ControlBench {
+  const harness = new controlBench.ControlBench(seeds, toleratedLosses);
+  harness.time.advance(6_000);
+  assert.equal(harness.replace(seeds[0] ?? '', 7), true);
+  return harness;
 }
 
-/** All replicas of a data centre lose power; the others must elect, tell what was acknowledged and take changes. */
-function loseAndCheck(bench: controlBench.ControlBench, lost: readonly string[], left: string): void {
+/** Kills all replicas of a data centre; the others must elect a leader, keep acknowledged changes and accept new ones. */
+function loseAndCheck(harness: controlBench.ControlBench, lost: readonly string[], left: string): void {
   for (const address of lost) {
-    bench.kill(address);
+    harness.kill(address);
   }
-  bench.time.advance(4_000);
-  assert.equal(bench.read(left), 7);
-  assert.equal(bench.replace(left, 9), true);
+  harness.time.advance(4_000);
+  assert.equal(harness.read(left), 7);
+  assert.equal(harness.replace(left, 9), true);
 }
 
 void test.test('two replicas in each of three data centres tolerate the loss of any of them', () => {
   for (const lost of ['a', 'b', 'c']) {
     const seeds = ['a/1', 'a/2', 'b/1', 'b/2', 'c/1', 'c/2'];
-    const bench = founded(seeds, 2);
+    const harness = createCluster(seeds, 2);
     const left = seeds.filter((seed) => !seed.startsWith(lost));
     loseAndCheck(
-      bench,
+      harness,
       seeds.filter((seed) => !left.includes(seed)),
       left[0] ?? '',
     );
   }
 });
 
-// A VM of data centre c is gone for good, and a spare of a takes its place: three of five voters are in a, as well as
-// can be had. Then c has a VM again. With its replica as a sixth voter three of six are in a, and its loss stops every
-// change; one of a's must step back.
+// With the replica of the new VM as a sixth voter, three of six voters would be in data centre a, and its loss would
+// stop every change. One voter of a must be demoted.
 void test.test(
-  'a repair that put three of five voters into one data centre is undone once another has a VM',
+  'a repair that put three of five voters into one data centre is undone once another data centre has a VM',
   () => {
-    const bench = founded(['a/1', 'a/2', 'b/1', 'b/2', 'c/1'], 2);
-    bench.loseDisk('c/1');
-    bench.time.advance(1_000);
-    bench.start('a/3');
-    bench.time.advance(CATCH_UP);
-    bench.start('c/2');
-    bench.time.advance(CATCH_UP);
-    assert.equal(bench.voters().filter((name) => name.startsWith('a')).length, 2);
-    loseAndCheck(bench, ['a/1', 'a/2', 'a/3'], 'b/1');
+    const harness = createCluster(['a/1', 'a/2', 'b/1', 'b/2', 'c/1'], 2);
+    harness.loseDisk('c/1');
+    harness.time.advance(1_000);
+    harness.start('a/3');
+    harness.time.advance(CATCH_UP);
+    harness.start('c/2');
+    harness.time.advance(CATCH_UP);
+    assert.equal(harness.voters().filter((name) => name.startsWith('a')).length, 2);
+    loseAndCheck(harness, ['a/1', 'a/2', 'a/3'], 'b/1');
   },
 );
 
-// Three voters tolerate the loss of one data centre, four of which two are in one place do not: the fourth is kept as a
-// learner, which has everything and takes over for a voter that is lost.
-void test.test('a replica that would spoil the spread stays a learner, and replaces a lost voter', () => {
-  const bench = founded(['a/1', 'b/1', 'c/1'], 1);
-  bench.start('a/2');
-  bench.time.advance(CATCH_UP);
-  assert.deepEqual([...bench.voters()].sort(), ['a/1', 'b/1', 'c/1']);
-  bench.loseDisk('a/1');
-  bench.time.advance(CATCH_UP);
-  assert.deepEqual([...bench.voters()].sort(), ['a/2', 'b/1', 'c/1']);
-  loseAndCheck(bench, ['b/1'], 'c/1');
-});
+// Three voters in three data centres tolerate the loss of one; with a fourth, two voters would share a data centre. The
+// fourth replica must stay a learner and replace a voter that is lost.
+void test.test(
+  'a replica that would put two voters into one data centre stays a learner, and replaces a lost voter',
+  () => {
+    const harness = createCluster(['a/1', 'b/1', 'c/1'], 1);
+    harness.start('a/2');
+    harness.time.advance(CATCH_UP);
+    assert.deepEqual([...harness.voters()].sort(), ['a/1', 'b/1', 'c/1']);
+    harness.loseDisk('a/1');
+    harness.time.advance(CATCH_UP);
+    assert.deepEqual([...harness.voters()].sort(), ['a/2', 'b/1', 'c/1']);
+    loseAndCheck(harness, ['b/1'], 'c/1');
+  },
+);
--- a/packages/kumquatfront/src/trafficControl/entryDirectory.ts
+++ b/packages/kumquatfront/src/trafficControl/entryDirectory.ts
@@ -1,28 +1,27 @@
 /**
- * The entries that a control replica hears from, and which of them callers are given.
+ * Directory of the entries that watch a control replica, and selection of the entries returned to callers.
  */
 import type * as ports from '../kernel/ports.js';
 import type * as methods from './methods.js';
 
-/** An entry that asks for nothing this long is not given to callers any more. */
+/** Time since its last watch request after which an entry is no longer returned to callers. */
 const ENTRY_LEASE: ports.Milliseconds = 2_000;
 
 /**
- * Addresses of other data centres beside those of the caller's own. Callers that lose a data centre's entries all at
- * once turn to these without asking again; callers choose at random, so with forty near entries one call in eleven
- * crosses data centres, where a list filled up to sixty-four let four in ten cross.
+ * Number of entries of other data centres returned to a caller, so that it can fail over without a new lookup. Kept
+ * low because callers choose at random, and each of these entries attracts calls across data centres.
  */
-const FAR_ADDRESSES = 4;
+const REMOTE_ADDRESSES = 4;
 
-/** A caller gets this many addresses at least, where there are as many: some data centres have two entries. */
-const LEAST_ADDRESSES = 8;
+/** Minimum number of entries returned to a caller, if that many exist; a data centre may have only a few. */
+const MIN_ADDRESSES = 8;
 
 interface KnownEntry {
-  readonly news: methods.EntryNews;
-  readonly heardAt: ports.Milliseconds;
+  readonly status: methods.EntryNews;
+  readonly lastSeenAt: ports.Milliseconds;
 }
 
-/** The directory; see the module comment. */
+/** Entries known to one control replica, by name. */
 export class EntryDirectory {
   private readonly random: ports.Random;
   private readonly entries = new Map<string, KnownEntry>();
@@ -35,61 +34,60 @@
     return this.entries.size;
   }
 
-  /** Names of all entries that are heard from. */
+  /** Names of all known entries. */
   names(): readonly string[] {
     return [...this.entries.keys()];
   }
 
-  /** Notes what an entry says of itself; true where it was not known. */
-  hear(news: methods.EntryNews, now: ports.Milliseconds): boolean {
-    const isNew = !this.entries.has(news.name);
-    this.entries.set(news.name, { news, heardAt: now });
+  /** Records the status of an entry; returns true if the entry is new. */
+  recordStatus(status: methods.EntryNews, now: ports.Milliseconds): boolean {
+    const isNew = !this.entries.has(status.name);
+    this.entries.set(status.name, { status, lastSeenAt: now });
     return isNew;
   }
 
-  /** Forgets entries that are silent; gives their names. */
+  /** Removes entries whose lease has expired; returns their names. */
   expire(now: ports.Milliseconds): readonly string[] {
-    const silent = [...this.entries].filter(([, entry]) => now - entry.heardAt > ENTRY_LEASE);
-    for (const [name] of silent) {
+    const expired = [...this.entries].filter(([, entry]) => now - entry.lastSeenAt > ENTRY_LEASE);
+    for (const [name] of expired) {
       this.entries.delete(name);
     }
-    return silent.map(([name]) => name);
+    return expired.map(([name]) => name);
   }
 
   /**
-   * Entries for a caller: those of its data centre, and some others.
+   * Selects entries for a caller: those of its data centre, and a few of others.
    *
-   * Which others, and which of too many near ones, is drawn anew for each caller: always the same few would carry
-   * the far calls of all data centres.
+   * Entries are sampled at random for each caller, so that no few entries carry the remote calls of all data centres.
    *
-   * @param mayPass - true for data centres through which the caller's bodies may pass
+   * @param mayPass - true for data centres through which the caller's request bodies may pass
    */
   choose(
     dataCentre: string,
-    most: number,
+    limit: number,
     now: ports.Milliseconds,
     mayPass: (dataCentre: string) => boolean = () => true,
   ): readonly methods.EntryNews[] {
     const ready = [...this.entries.values()]
-      .filter((entry) => entry.news.state === 'ready' && now - entry.heardAt <= ENTRY_LEASE)
-      .map((entry) => entry.news);
-    const passed = ready.filter((entry) => mayPass(entry.dataCentre));
-    // With none where the bodies may be, a caller is better told so by an entry than given no address.
-    const usable = passed.length > 0 ? passed : ready;
-    const near = usable.filter((entry) => entry.dataCentre === dataCentre);
-    const far = usable.filter((entry) => entry.dataCentre !== dataCentre);
-    const nearGiven = this.draw(near, most - Math.min(FAR_ADDRESSES, far.length));
-    const farCount = Math.max(FAR_ADDRESSES, LEAST_ADDRESSES - nearGiven.length);
-    return [...nearGiven, ...this.draw(far, Math.min(farCount, most - nearGiven.length))];
+      .filter((entry) => entry.status.state === 'ready' && now - entry.lastSeenAt <= ENTRY_LEASE)
+      .map((entry) => entry.status);
+    const allowed = ready.filter((entry) => mayPass(entry.dataCentre));
+    // If no entry is allowed, any entry can still refuse the call with a reason, unlike an empty list.
+    const usable = allowed.length > 0 ? allowed : ready;
+    const local = usable.filter((entry) => entry.dataCentre === dataCentre);
+    const remote = usable.filter((entry) => entry.dataCentre !== dataCentre);
+    const chosenLocal = this.sample(local, limit - Math.min(REMOTE_ADDRESSES, remote.length));
+    const remoteCount = Math.max(REMOTE_ADDRESSES, MIN_ADDRESSES - chosenLocal.length);
+    return [...chosenLocal, ...this.sample(remote, Math.min(remoteCount, limit - chosenLocal.length))];
   }
 
-  /** Some of a list, each with the same chance. */
-  private draw<Item>(items: readonly Item[], count: number): readonly Item[] {
-    const left = [...items];
-    const drawn: Item[] = [];
-    while (drawn.length < count && left.length > 0) {
-      drawn.push(...left.splice(Math.floor(this.random.next() * left.length), 1));
+  /** Draws items from a list uniformly at random, without replacement. */
+  private sample<Item>(items: readonly Item[], count: number): readonly Item[] {
+    const remaining = [...items];
+    const sampled: Item[] = [];
+    while (sampled.length < count && remaining.length > 0) {
+      sampled.push(...remaining.splice(Math.floor(this.random.next() * remaining.length), 1));
     }
-    return drawn;
+    return sampled;
   }
 }
--- a/packages/kumquatfront/src/trafficControl/methods.ts
+++ b/packages/kumquatfront/src/trafficControl/methods.ts
@@ -1,6 +1,6 @@
 /**
- * Methods that control serves for whole traffic configurations, upstream instances and placement, with the
- * shapes of their messages.
+ * RPC methods of the control replicas for traffic configurations, upstream instances and placement, and the types of
+ * their messages.
  */
 import type * as agreedTypes from '../agreedState/types.js';
 import type * as instanceTypes from '../instances/types.js';
@@ -8,13 +8,13 @@
 import type * as quarantineTypes from '../quarantine/types.js';
 import * as rendezvous from '../utils/rendezvous.js';
 
-/** Names of the methods. */
+/** RPC method names. */
 export const methods = {
   watch: 'traffic.watch',
   fetch: 'traffic.fetch',
   replace: 'traffic.replace',
   read: 'traffic.read',
-  /** Evacuates a data centre, or restores it. */
+  /** Evacuates or restores a data centre. */
   evacuate: 'traffic.evacuate',
   gossip: 'traffic.gossip',
   cases: 'traffic.cases',
@@ -27,113 +27,114 @@
   move: 'placement.move',
 } as const;
 
-/** Whether an entry should be given to callers. */
+/** Lifecycle state of an entry; only entries that are `ready` are returned to callers. */
 export type EntryState = 'starting' | 'ready' | 'draining';
 
-/** What an entry says of itself with each watch. */
+/** Attributes and status of an entry, sent with each watch request. */
 export interface EntryNews {
   readonly name: string;
   readonly dataCentre: string;
-  /** Where callers connect: `ip:port`. */
+  /** Address that callers connect to, as `ip:port`. */
   readonly callerAddress: string;
   readonly peerAddress: string;
   readonly state: EntryState;
-  /** Version that the entry has in force; 0 before the first. */
+  /** Version of the traffic configuration in force at the entry; 0 before the first one. */
   readonly trafficVersion: number;
 }
 
 /**
- * What a replica tells an entry as soon as it knows it; the rest is told when a watch closes. `instances` is
- * everything, `notices` leaves out instances that are found or gone, `leaders` is a new leader only.
+ * Updates that a replica sends to an entry immediately; all others are sent when the watch closes. `instances` covers
+ * every update, `notices` leaves out instances that were added or removed, `leaders` covers only a new leader and
+ * evacuations.
  */
-export type ToldAtOnce = 'instances' | 'notices' | 'leaders';
+export type ImmediateUpdates = 'instances' | 'notices' | 'leaders';
 
-/** Asks for news; the answer comes when there is some, or after a while without. */
+/** Long poll for updates: answered when there is an update, or when the watch closes. */
 export interface WatchRequest {
   readonly entry: EntryNews;
   readonly epoch: string;
   readonly revision: number;
-  /** Version of a configuration that this replica has told of already. */
+  /** Highest configuration version that the entry has in force or that this replica has announced to it. */
   readonly toldVersion: number;
-  /** Term of the newest leader that the entry has been told of, by any replica. */
+  /** Highest leader term that any replica has reported to the entry. */
   readonly toldTerm: number;
-  readonly toldAtOnce: ToldAtOnce;
-  /** Digest of the control replicas that this one has told of; 0 before the first answer. */
+  readonly toldAtOnce: ImmediateUpdates;
+  /** Digest of the replica addresses that this replica last sent; 0 before the first answer. */
   readonly controlDigest: number;
-  /** Revision up to which this replica, in this epoch, has told of contents under which upstreams ended. */
+  /** Revision up to which the entry has received this replica's crash records in this epoch. */
   readonly caseRevision: number;
-  /** Revision of the evacuated data centres that the entry knows, from any replica. */
+  /** Highest revision of the evacuated data centres that the entry has received from any replica. */
   readonly evacuationRevision: number;
 }
 
-/** Asks for the configuration in force, where it is newer than a version. */
+/** Requests the configuration in force if it is newer than version `above`. */
 export interface FetchRequest {
   readonly above: number;
 }
 
-/** News for an entry. */
+/** Updates for an entry. */
 export interface WatchAnswer {
-  /** Where the answerer is. */
+  /** Data centre of the answering replica. */
   readonly dataCentre: string;
-  /** Left out where the entry is up to date. */
+  /** Omitted when the entry is up to date. */
   readonly instances?: instanceTypes.InstanceNews;
-  /** Version of the configuration in force here; 0 where there is none. */
+  /** Version of the configuration in force at the replica; 0 if there is none. */
   readonly trafficVersion: number;
-  /** False where the answerer may be behind; what it tells is then no reason to begin serving. */
+  /** False when the replica's state may be stale; an entry must not start serving on the basis of a stale answer. */
   readonly fresh: boolean;
-  /** Term of the leader that the answerer follows, and its address; empty where it knows none. */
+  /** Term and address of the leader that the replica follows; the address is empty if no leader is known. */
   readonly leaderTerm: number;
   readonly leaderAddress: string;
-  /** Peer addresses of all control replicas; left out where they are those of the digest asked with. */
+  /** Peer addresses of all control replicas; omitted when they match the digest in the request. */
   readonly control?: readonly string[];
-  /** Entries that this replica hears from. */
+  /** Number of entries with a current lease at this replica. */
   readonly entryCount: number;
-  /** Contents under which upstreams ended; left out where the entry is up to date. */
+  /** Records of contents that crashed upstreams; omitted when the entry is up to date. */
   readonly cases?: quarantineTypes.CaseNews;
-  /** Data centres whose upstreams get nothing new; left out where the entry is up to date. */
+  /** Data centres whose upstreams receive no new work; omitted when the entry is up to date. */
   readonly evacuations?: agreedTypes.Evacuations;
 }
 
-/** News of instances between control replicas. */
+/** Instance records exchanged between control replicas. */
 export interface Gossip {
   readonly records: readonly instanceTypes.InstanceRecord[];
 }
 
-/** Instances at whose addresses an entry found that nothing listens any more. */
+/** Instances whose addresses no longer accept connections, as found by an entry. */
 export interface EndedInstances {
   readonly instances: readonly string[];
 }
 
-/** What an entry has heard of an instance's rate limit. */
+/** Rate limit that an entry received from an instance. */
 export interface HeardRateLimit {
   readonly instance: string;
-  /** Requests a second from all senders together; absent where the instance does not name a limit any more. */
+  /** Requests per second from all senders together; absent once the instance no longer states a limit. */
   readonly perSecond?: number;
 }
 
-/** What an entry holds against contents. */
+/** Crash records reported by an entry. */
 export interface CaseReport {
   readonly cases: readonly quarantineTypes.CaseRecord[];
 }
 
-/** Withdraws a question for a place. */
+/** Cancels a placement request. */
 export interface Withdrawal {
   readonly identity: string;
 }
 
-/** A question for a place as it travels. */
+/** Placement request as sent to the coordinator. */
 export type PlaceRequest = placementTypes.PlacementRequest;
 
 /**
- * A number that stands for a list of control replicas, in any order.
+ * Computes an order-independent digest of a set of control replicas.
  *
- * @param control - peer addresses
+ * @param addresses - peer addresses of the replicas
  * @returns the digest; never 0
  * @example
  * ```ts
- * methods.digestOf(['10.0.0.1:7300', '10.0.0.2:7300']);
+ * methods.replicaSetDigest(['10.0.0.1:7300', '10.0.0.2:7300']);
  * ```
  */
-export function digestOf(control: readonly string[]): number {
-  return Math.max(1, rendezvous.hash([...control].sort().join(' ')));
+export function replicaSetDigest(addresses: readonly string[]): number {
+  return Math.max(1, rendezvous.hash([...addresses].sort().join(' ')));
 }
--- a/packages/kumquatfront/src/trafficControl/openWatches.spec.ts
+++ b/packages/kumquatfront/src/trafficControl/openWatches.spec.ts
@@ -1,5 +1,5 @@
 /**
- * When the watches of entries are answered: what is urgent by every replica, the rest by the nearest one.
+ * When watches are answered: urgent updates by several or all replicas, other updates by the nearest one.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -12,8 +12,8 @@
 import type * as methods from './methods.js';
 import * as openWatches from './openWatches.js';
 
-/** One replica with its watches. */
-class Bench {
+/** Test harness with the open watches of one replica. */
+class WatchTestHarness {
   readonly time = new virtualTime.VirtualTime();
   readonly table = new instanceTable.InstanceTable('epoch');
   state: openWatches.WatchedState = {
@@ -44,40 +44,40 @@
     };
   }
 
-  hear(identity: string): void {
+  announce(identity: string): void {
     this.table.hear(controlBench.announcementOf(identity, 1), this.time.now());
     this.watches.wake();
   }
 
-  /** Moments at which an entry that watches for ever is answered. */
-  follow(toldAtOnce: methods.ToldAtOnce): ports.Milliseconds[] {
+  /** Watches continuously as an entry, and records the times of the answers. */
+  recordAnswerTimes(toldAtOnce: methods.ImmediateUpdates): ports.Milliseconds[] {
     const answeredAt: ports.Milliseconds[] = [];
     const position = { epoch: this.table.epoch, revision: this.table.currentRevision };
-    const told = { version: this.state.trafficVersion, term: this.state.leaderTerm, evacuations: 0 };
-    const place = { name: 'e', dataCentre: 'a', callerAddress: 'e:1', peerAddress: 'e' };
-    const entry: methods.EntryNews = { ...place, state: 'ready', trafficVersion: 1 };
-    const ask = (): void => {
+    const received = { version: this.state.trafficVersion, term: this.state.leaderTerm, evacuations: 0 };
+    const attributes = { name: 'e', dataCentre: 'a', callerAddress: 'e:1', peerAddress: 'e' };
+    const entry: methods.EntryNews = { ...attributes, state: 'ready', trafficVersion: 1 };
+    const sendWatch = (): void => {
       const request = {
         entry,
         ...position,
-        toldVersion: told.version,
-        toldTerm: told.term,
+        toldVersion: received.version,
+        toldTerm: received.term,
         toldAtOnce,
         controlDigest: 0,
         caseRevision: 0,
-        evacuationRevision: told.evacuations,
+        evacuationRevision: received.evacuations,
       };
       this.watches.open(request, (result) => {
         const answer = result.unwrap() as methods.WatchAnswer;
         answeredAt.push(this.time.now());
         position.revision = answer.instances?.revision ?? position.revision;
-        told.version = answer.trafficVersion;
-        told.term = answer.leaderTerm;
-        told.evacuations = answer.evacuations?.revision ?? told.evacuations;
-        this.time.after(2, ask);
+        received.version = answer.trafficVersion;
+        received.term = answer.leaderTerm;
+        received.evacuations = answer.evacuations?.revision ?? received.evacuations;
+        this.time.after(2, sendWatch);
       });
     };
-    ask();
+    sendWatch();
     this.time.after(250, () => {
       this.wakeRegularly();
     });
@@ -92,80 +92,78 @@
   }
 }
 
-// Every instance of a fleet is heard of anew within a second, as after a loss of all power. Each of two hundred entries
-// watches five replicas: told of each instance at once by all of them, control would answer nothing else for seconds.
+// If every replica answered every watch for each instance of a restarting fleet, the replicas would be overloaded.
 void test.test(
-  'a fleet that is heard of anew costs the nearest replica some waves, and the others one answer',
+  'announcements of a whole fleet cost the nearest replica some batches, and the others one answer',
   () => {
-    const bench = new Bench();
-    const near = bench.follow('instances');
-    const far = bench.follow('leaders');
+    const harness = new WatchTestHarness();
+    const near = harness.recordAnswerTimes('instances');
+    const far = harness.recordAnswerTimes('leaders');
     for (let index = 0; index < 100; index += 1) {
-      bench.time.advance(6);
-      bench.hear(`i${index}`);
+      harness.time.advance(6);
+      harness.announce(`i${index}`);
     }
     assert.ok(near.length >= 10 && near.length <= 14, `${near.length} answers of the nearest`);
-    const farInStorm = far.length;
-    bench.time.advance(500);
-    assert.deepEqual([farInStorm, far.length], [0, 1]);
+    const farDuringAnnouncements = far.length;
+    harness.time.advance(500);
+    assert.deepEqual([farDuringAnnouncements, far.length], [0, 1]);
   },
 );
 
 void test.test(
-  'the nearest replica tells of a single instance at once, another before its watch is over',
+  'the nearest replica sends a single instance immediately, another one when its watch closes',
   () => {
-    const bench = new Bench();
-    const near = bench.follow('instances');
-    const far = bench.follow('leaders');
-    bench.time.advance(100);
-    bench.hear('i');
+    const harness = new WatchTestHarness();
+    const near = harness.recordAnswerTimes('instances');
+    const far = harness.recordAnswerTimes('leaders');
+    harness.time.advance(100);
+    harness.announce('i');
     assert.deepEqual(near, [100]);
-    bench.time.advance(openWatches.WATCH_OPEN + 250);
+    harness.time.advance(openWatches.MAX_WATCH_DURATION + 250);
     assert.equal(far.length, 1);
   },
 );
 
-// An engine gives two seconds of notice. An entry whose nearest replica is cut off or hangs must know of it as soon as
-// any other entry: what it sent there meanwhile would be lost with the engine.
+// An entry whose nearest replica is partitioned or hangs must not be late to receive a termination notice: requests sent
+// to the engine after it would be lost.
 void test.test(
-  'a notice is told by two replicas at once, also within a wave, and by all within a second',
+  'a termination notice is sent immediately by two replicas, also between batches, and by all within a second',
   () => {
-    const bench = new Bench();
-    const near = bench.follow('instances');
-    const second = bench.follow('notices');
-    const far = bench.follow('leaders');
-    bench.time.advance(100);
-    bench.hear('i');
-    bench.time.advance(10);
-    bench.table.leave('i', bench.time.now());
-    bench.watches.wake();
+    const harness = new WatchTestHarness();
+    const near = harness.recordAnswerTimes('instances');
+    const second = harness.recordAnswerTimes('notices');
+    const far = harness.recordAnswerTimes('leaders');
+    harness.time.advance(100);
+    harness.announce('i');
+    harness.time.advance(10);
+    harness.table.leave('i', harness.time.now());
+    harness.watches.wake();
     assert.deepEqual([near, second], [[100, 110], [110]]);
-    bench.time.advance(890);
+    harness.time.advance(890);
     assert.equal(far.length, 1);
   },
 );
 
-// The leader is lost, and with it who places generations. Entries that learn of the next one only when their watches
-// close keep every caller waiting for most of a second more.
-void test.test('a new leader is told by every replica at once, a new configuration by two', () => {
-  const bench = new Bench();
-  const second = bench.follow('notices');
-  const far = bench.follow('leaders');
-  bench.time.advance(100);
-  bench.state = { ...bench.state, leaderTerm: 2 };
-  bench.watches.wake();
-  bench.time.advance(10);
-  bench.state = { ...bench.state, trafficVersion: 2 };
-  bench.watches.wake();
+// Entries that learn of a new leader only when their watches close cannot place generations until then.
+void test.test('a new leader is sent immediately by every replica, a new configuration by two', () => {
+  const harness = new WatchTestHarness();
+  const second = harness.recordAnswerTimes('notices');
+  const far = harness.recordAnswerTimes('leaders');
+  harness.time.advance(100);
+  harness.state = { ...harness.state, leaderTerm: 2 };
+  harness.watches.wake();
+  harness.time.advance(10);
+  harness.state = { ...harness.state, trafficVersion: 2 };
+  harness.watches.wake();
   assert.deepEqual([second, far], [[100, 110], [100]]);
 });
 
-void test.test('a replica that is not fresh tells of no leader', () => {
-  const bench = new Bench();
-  bench.state = { ...bench.state, fresh: false };
-  const far = bench.follow('leaders');
-  bench.time.advance(100);
-  bench.state = { ...bench.state, leaderTerm: 2 };
-  bench.watches.wake();
+void test.test('a stale replica sends no leader', () => {
+  const harness = new WatchTestHarness();
+  harness.state = { ...harness.state, fresh: false };
+  const far = harness.recordAnswerTimes('leaders');
+  harness.time.advance(100);
+  harness.state = { ...harness.state, leaderTerm: 2 };
+  harness.watches.wake();
   assert.deepEqual(far, []);
 });
--- a/packages/kumquatfront/src/trafficControl/openWatches.ts
+++ b/packages/kumquatfront/src/trafficControl/openWatches.ts
@@ -1,14 +1,11 @@
 /**
- * The watches of entries that one control replica holds open, and when each of them is answered.
+ * Open watches of entries at one control replica, and the rules for when each of them is answered.
  *
- * Pattern: every entry watches every replica, so that no cut hides news. With two hundred entries and five replicas a
- * thousand watches are open, four fifths of them across data centres. Told at once by each, an instance that comes
- * costs a thousand answers of half a kilobyte; after a loss of all power, when every instance is heard of anew, a
- * replica would answer nothing else for seconds. So an entry is told of everything at once by the replica that is
- * nearest to it, of notices and configurations by a second one as well, which stands in another data centre, and of
- * a new leader and of evacuated data centres by all. The others tell the rest when their watches close: within a second even where both of an
- * entry's own are cut off, which is half of the time in which a notice must be heeded. Contents under which upstreams
- * end are told like notices: an entry that learns of one late may send it on once more.
+ * Every entry watches every replica so that a network partition hides no update. If all replicas answered all watches
+ * on every change, announcements of a whole fleet after a restart would saturate the replicas. Therefore the replica
+ * nearest to an entry sends all updates immediately, a backup replica in another data centre sends termination notices,
+ * crash records and configurations immediately, and all replicas send leader changes and evacuations immediately. All
+ * other updates are sent when the watch closes.
  */
 import type * as instanceTable from '../instances/instanceTable.js';
 import type * as ports from '../kernel/ports.js';
@@ -16,30 +13,29 @@
 import type * as timerService from '../kernel/timerService.js';
 import type * as methods from './methods.js';
 
-/** Longest time for which a watch stays open: well inside an entry's timeout for it. */
-export const WATCH_OPEN: ports.Milliseconds = 700;
+/** Maximum time a watch stays open; must be well below the entry's timeout for the request. */
+export const MAX_WATCH_DURATION: ports.Milliseconds = 700;
 
 /**
- * Time between two waves of answers that tell of instances found or gone. Services are released one instance after
- * another and restart together: a wave tells of several. A place found this much later is no loss beside the second
- * in which instances announce themselves.
+ * Minimum time between two batches of answers about added or removed instances, so that one answer covers several
+ * instances of a rollout or restart.
  */
-const WAVE_PAUSE: ports.Milliseconds = 50;
+const BATCH_INTERVAL: ports.Milliseconds = 50;
 
-/** What a replica knows that an entry may have to be told at once. */
+/** State of a replica that can make a watch due for an immediate answer. */
 export interface WatchedState {
-  /** Version of the configuration in force here; 0 where there is none. */
+  /** Version of the configuration in force at the replica; 0 if there is none. */
   readonly trafficVersion: number;
   readonly fresh: boolean;
-  /** Grows with every change of what is held against contents. */
+  /** Increases with every change of the crash records. */
   readonly caseRevision: number;
   /** Revision of the evacuated data centres. */
   readonly evacuationRevision: number;
-  /** Term of the leader that this replica follows; 0 where it knows none. */
+  /** Term of the leader that the replica follows; 0 if no leader is known. */
   readonly leaderTerm: number;
 }
 
-/** What the watches are made from. */
+/** Dependencies of {@link OpenWatches}. */
 export interface OpenWatchesOptions {
   readonly timers: timerService.TimerService;
   readonly table: instanceTable.InstanceTable;
@@ -53,26 +49,26 @@
   readonly closesAt: ports.Milliseconds;
 }
 
-/** The watches; see the module comment. */
+/** Holds the open watches of entries and answers those that are due. */
 export class OpenWatches {
   private readonly options: OpenWatchesOptions;
   private readonly watches = new Set<OpenWatch>();
-  private nextWaveAt: ports.Milliseconds = 0;
-  private waveScheduled = false;
+  private nextBatchAt: ports.Milliseconds = 0;
+  private batchScheduled = false;
 
   constructor(options: OpenWatchesOptions) {
     this.options = options;
   }
 
-  /** Takes a watch, and answers it where there is news already. The others are not looked at: nothing is new to them. */
+  /** Adds a watch and answers it immediately if an update is pending. Other watches are not checked. */
   open(request: methods.WatchRequest, reply: ports.Reply): void {
     const now = this.options.timers.now();
-    const watch: OpenWatch = { request, reply, closesAt: now + WATCH_OPEN };
+    const watch: OpenWatch = { request, reply, closesAt: now + MAX_WATCH_DURATION };
     this.watches.add(watch);
     this.answerDue([watch], now);
   }
 
-  /** Answers every watch that has news; called whenever there may be some. */
+  /** Answers every watch that is due; called whenever the replica's state may have changed. */
   wake(): void {
     this.answerDue([...this.watches], this.options.timers.now());
   }
@@ -80,23 +76,23 @@
   private answerDue(watches: readonly OpenWatch[], now: ports.Milliseconds): void {
     const state = this.options.state();
     const due = watches.filter((watch) => this.isDue(watch, state, now));
-    if (now >= this.nextWaveAt && due.some((watch) => this.isInWave(watch))) {
-      this.nextWaveAt = now + WAVE_PAUSE;
+    if (now >= this.nextBatchAt && due.some((watch) => this.awaitsBatch(watch))) {
+      this.nextBatchAt = now + BATCH_INTERVAL;
     }
     for (const watch of due) {
       this.watches.delete(watch);
       watch.reply(results.Ok(this.options.answer(watch.request)));
     }
-    const waits = watches.some((watch) => this.watches.has(watch) && this.isInWave(watch));
-    if (waits && !this.waveScheduled) {
-      this.scheduleWave(now);
+    const isBatchPending = watches.some((watch) => this.watches.has(watch) && this.awaitsBatch(watch));
+    if (isBatchPending && !this.batchScheduled) {
+      this.scheduleBatch(now);
     }
   }
 
-  private scheduleWave(now: ports.Milliseconds): void {
-    this.waveScheduled = true;
-    this.options.timers.after(this.nextWaveAt - now, () => {
-      this.waveScheduled = false;
+  private scheduleBatch(now: ports.Milliseconds): void {
+    this.batchScheduled = true;
+    this.options.timers.after(this.nextBatchAt - now, () => {
+      this.batchScheduled = false;
       this.wake();
     });
   }
@@ -104,31 +100,32 @@
   private isDue(watch: OpenWatch, state: WatchedState, now: ports.Milliseconds): boolean {
     const { request, closesAt } = watch;
     const newLeader = state.fresh && request.toldTerm < state.leaderTerm;
-    // Told by every replica, like a new leader: an operator does it rarely, and an entry that is cut off from its own
-    // two replicas must not go on sending work there.
+    // Sent by every replica: an entry that is partitioned from its nearest and backup replicas must still stop sending
+    // work to an evacuated data centre.
     const newEvacuation = request.evacuationRevision < state.evacuationRevision;
-    const inWave = now >= this.nextWaveAt && this.isInWave(watch);
-    return now >= closesAt || newLeader || newEvacuation || inWave || this.hasUrgentNews(request, state);
+    const inBatch = now >= this.nextBatchAt && this.awaitsBatch(watch);
+    return now >= closesAt || newLeader || newEvacuation || inBatch || this.hasUrgentUpdate(request, state);
   }
 
-  private hasUrgentNews(request: methods.WatchRequest, state: WatchedState): boolean {
+  private hasUrgentUpdate(request: methods.WatchRequest, state: WatchedState): boolean {
     const { table } = this.options;
     const newTraffic = request.toldVersion < state.trafficVersion;
     if (request.entry.trafficVersion === 0 && newTraffic) {
-      // An entry that starts serves nobody before it has a configuration, and takes one from a fresh replica only. Told
-      // anything earlier it would ask again at once.
+      // A starting entry accepts its first configuration only from a fresh replica. Answering earlier would make it
+      // send its next watch request immediately, in a busy loop.
       return state.fresh;
     }
     if (request.epoch !== table.epoch) {
       return true;
     }
-    const newCases = request.caseRevision < state.caseRevision;
+    const newCrashRecords = request.caseRevision < state.caseRevision;
     return (
-      request.toldAtOnce !== 'leaders' && (newTraffic || newCases || request.revision < table.noticeRevision)
+      request.toldAtOnce !== 'leaders' &&
+      (newTraffic || newCrashRecords || request.revision < table.noticeRevision)
     );
   }
 
-  private isInWave({ request }: OpenWatch): boolean {
+  private awaitsBatch({ request }: OpenWatch): boolean {
     return request.toldAtOnce === 'instances' && request.revision !== this.options.table.currentRevision;
   }
 }
--- a/packages/kumquatfront/src/trafficControl/operatorCalls.ts
+++ b/packages/kumquatfront/src/trafficControl/operatorCalls.ts
@@ -1,6 +1,6 @@
 /**
- * What operators ask of control: to replace the configuration, to read it, to evacuate a data centre and to restore
- * it. Any replica takes a call; the leader has it committed on a quorum before it is acknowledged.
+ * Operator calls: replace or read the traffic configuration, evacuate or restore a data centre. Any replica accepts a
+ * call and forwards it to the leader, which commits a change on a quorum before it is acknowledged.
  */
 import type * as agreedState from '../agreedState/agreedState.js';
 import * as evacuationFailures from '../agreedState/evacuationFailures.js';
@@ -13,7 +13,7 @@
 import type * as trafficTypes from '../traffic/types.js';
 import * as methods from './methods.js';
 
-/** What the calls are made from. */
+/** Settings, dependencies and callbacks of {@link OperatorCalls}. */
 export interface OperatorCallsOptions {
   readonly replica: replica.Replica;
   readonly state: agreedState.AgreedState;
@@ -21,22 +21,22 @@
   readonly log: ports.Log;
   readonly peerAddress: string;
   readonly decode: trafficTypes.DecodeTraffic;
-  /** Voters that must stand before the first change is taken. */
+  /** Minimum number of voters before a change is accepted. */
   readonly leastVoters: number;
-  /** Voters that must stand where others are about to join. */
+  /** Minimum number of voters while more replicas are about to join. */
   readonly wantedVoters: number;
-  /** True where a replica is about to become a voter. */
+  /** Whether replicas are about to become voters. */
   readonly isGathering: () => boolean;
-  /** Names of all data centres; empty where the settings name none, and any may be evacuated. */
+  /** Names of all data centres; if empty, any name is accepted for an evacuation. */
   readonly dataCentres: readonly string[];
-  /** Called once a change that was proposed here is settled. */
-  readonly changed: () => void;
+  /** Called when a change proposed at this replica has been committed or rejected. */
+  readonly onChangeSettled: () => void;
 }
 
-/** How long a change may take before its operator is told to ask again: inside a caller's second. */
+/** Timeout of a call forwarded to the leader. */
 const FORWARD_TIMEOUT: ports.Milliseconds = 900;
 
-/** The calls; see the module comment. */
+/** Executes operator calls at the leader, or forwards them to it. */
 export class OperatorCalls {
   private readonly options: OperatorCallsOptions;
 
@@ -44,23 +44,23 @@
     this.options = options;
   }
 
-  /** Serves calls that other replicas pass on to the leader. */
+  /** Registers the RPC handlers for calls that other replicas forward to the leader. */
   serve(): void {
     const { peers } = this.options;
     const { methods: names } = methods;
     peers.serve(names.replace, (parameters, reply) => {
       const proposal = parameters as trafficTypes.VersionedText;
-      this.proposeHere({ type: 'replaceTraffic', ...proposal }, reply);
+      this.proposeLocally({ type: 'replaceTraffic', ...proposal }, reply);
     });
     peers.serve(names.evacuate, (parameters, reply) => {
-      this.proposeHere(parameters as agreedTypes.DataCentreCommand, reply);
+      this.proposeLocally(parameters as agreedTypes.DataCentreCommand, reply);
     });
     peers.serve(names.read, (_parameters, reply) => {
-      this.readHere(reply);
+      this.readLocally(reply);
     });
   }
 
-  /** Takes a whole configuration: checked here, committed by the leader before it is acknowledged. */
+  /** Replaces the configuration: validated at this replica, committed by the leader before it is acknowledged. */
   replace(text: string, done: ports.Reply): void {
     const { log, decode } = this.options;
     const checked = decode(text).andThen((configuration) => trafficValidation.check(configuration));
@@ -74,9 +74,9 @@
       log.info('trafficSent', { version: proposal.version, outcome: outcomeOf(result) });
       done(result);
     };
-    this.atLeader(
+    this.runAtLeader(
       () => {
-        this.proposeHere({ type: 'replaceTraffic', ...proposal }, settle);
+        this.proposeLocally({ type: 'replaceTraffic', ...proposal }, settle);
       },
       methods.methods.replace,
       proposal,
@@ -84,7 +84,7 @@
     );
   }
 
-  /** Evacuates a data centre, or restores it; acknowledged again where that has been done before. */
+  /** Evacuates or restores a data centre; a repeated call is acknowledged again. */
   orderDataCentre(command: agreedTypes.DataCentreCommand, done: ports.Reply): void {
     const { log, dataCentres } = this.options;
     const { type: order, dataCentre } = command;
@@ -98,9 +98,9 @@
       log.info('dataCentreOrdered', { order, dataCentre, outcome: outcomeOf(result) });
       done(result);
     };
-    this.atLeader(
+    this.runAtLeader(
       () => {
-        this.proposeHere(command, settle);
+        this.proposeLocally(command, settle);
       },
       methods.methods.evacuate,
       command,
@@ -108,14 +108,14 @@
     );
   }
 
-  /** Reads the newest configuration; a failure where this cannot be certain. */
+  /** Reads the newest configuration; fails if a quorum does not confirm that it is the newest. */
   read(done: (result: results.Result<trafficTypes.VersionedText | null, failures.Failure>) => void): void {
     const settle: ports.Reply = (result) => {
       done(result.map((value) => value as trafficTypes.VersionedText | null));
     };
-    this.atLeader(
+    this.runAtLeader(
       () => {
-        this.readHere(settle);
+        this.readLocally(settle);
       },
       methods.methods.read,
       null,
@@ -123,11 +123,11 @@
     );
   }
 
-  /** Does something here where this replica leads, else asks the leader by a method. */
-  private atLeader(here: () => void, method: string, parameters: unknown, done: ports.Reply): void {
+  /** Runs a call at this replica if it leads, and otherwise forwards it to the leader by an RPC method. */
+  private runAtLeader(runLocally: () => void, method: string, parameters: unknown, done: ports.Reply): void {
     const { replica: own, peers, peerAddress } = this.options;
     if (own.mayLead()) {
-      here();
+      runLocally();
       return;
     }
     const leader = own.leader();
@@ -139,26 +139,25 @@
     peers.request(leader.address, method, parameters, FORWARD_TIMEOUT, done);
   }
 
-  private proposeHere(command: agreedTypes.Command, done: ports.Reply): void {
-    const { replica: own, leastVoters, wantedVoters, isGathering, changed } = this.options;
+  private proposeLocally(command: agreedTypes.Command, done: ports.Reply): void {
+    const { replica: own, leastVoters, wantedVoters, isGathering, onChangeSettled } = this.options;
     const voters = own.status().members.filter((member) => member.role === 'voter').length;
-    // Right after the founding fewer replicas hold the log than must be there to lose some. Only seeds are told to
-    // anyone, and the tolerated losses may need more: a change on two of three disks would be gone with two of five.
-    // Whoever is about to join is waited for; where nobody is, the seeds are all that there are.
+    // Right after bootstrap too few replicas hold the log to survive the tolerated losses, so a change committed then
+    // could be lost. While replicas are joining, wait for all that the tolerated losses require.
     const needed = isGathering() ? wantedVoters : leastVoters;
     if (voters < needed) {
-      const remedy = 'Send it again in a second.';
-      const message = `Only ${voters} of ${needed} replicas have joined.`;
+      const remedy = 'Retry in a second.';
+      const message = `Only ${voters} of the ${needed} required voters have joined.`;
       done(results.Err(failures.create('noQuorum', message, remedy)));
       return;
     }
     own.propose(command, (result) => {
       done(result);
-      changed();
+      onChangeSettled();
     });
   }
 
-  private readHere(done: ports.Reply): void {
+  private readLocally(done: ports.Reply): void {
     const { replica: own, state } = this.options;
     own.confirmRead((confirmed) => {
       done(confirmed.map(() => state.traffic ?? null));
--- a/packages/kumquatfront/src/trafficControl/trafficControl.spec.ts
+++ b/packages/kumquatfront/src/trafficControl/trafficControl.spec.ts
@@ -1,6 +1,6 @@
 /**
- * Whole configurations and notices through control that fails: nothing acknowledged is lost, shown older, or
- * unknown to an entry.
+ * Configurations and termination notices while control replicas fail: nothing acknowledged is lost, read in an older
+ * version, or withheld from an entry.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -9,271 +9,261 @@
 
 const SEEDS = ['c1', 'c2', 'c3'];
 
-/** The time in which a replica that starts must be repaired. */
+/** Time within which a started replica must be a voter. */
 const CATCH_UP = 4_000;
 
-function founded(): controlBench.ControlBench {
-  const bench = new controlBench.ControlBench(SEEDS);
-  bench.time.advance(3_000);
-  assert.deepEqual([...bench.voters()].sort(), SEEDS);
-  return bench;
+function createCluster(): controlBench.ControlBench {
+  const harness = new controlBench.ControlBench(SEEDS);
+  harness.time.advance(3_000);
+  assert.deepEqual([...harness.voters()].sort(), SEEDS);
+  return harness;
 }
 
-void test.test('three new replicas that know only seeds found one system', () => {
-  founded();
+void test.test('three new replicas that know only the seeds form one cluster', () => {
+  createCluster();
 });
 
-// A replica alone has founded the system and the others are about to join. A change acknowledged now would be
-// gone with one disk.
-void test.test('no change is taken before there are voters to lose', () => {
-  const bench = new controlBench.ControlBench(SEEDS);
-  while (bench.leader() === '') {
-    bench.time.advance(5);
+// A change acknowledged by the first voter alone, before the others have joined, could be lost with its disk.
+void test.test('no change is accepted before there are enough voters to tolerate a loss', () => {
+  const harness = new controlBench.ControlBench(SEEDS);
+  while (harness.leader() === '') {
+    harness.time.advance(5);
   }
-  assert.equal(bench.voters().length, 1);
+  assert.equal(harness.voters().length, 1);
   let outcome = '';
-  bench.trafficOf(bench.leader()).replace(controlBench.textOf(5), (result) => {
+  harness.trafficOf(harness.leader()).replace(controlBench.configurationText(5), (result) => {
     outcome = result.err ? result.val.kind : 'acknowledged';
   });
-  bench.time.advance(20);
+  harness.time.advance(20);
   assert.equal(outcome, 'noQuorum');
-  bench.time.advance(3_000);
-  assert.equal(bench.replace('c2', 5), true);
+  harness.time.advance(3_000);
+  assert.equal(harness.replace('c2', 5), true);
 });
 
 void test.test('the highest version is in force; a lower one is acknowledged and changes nothing', () => {
-  const bench = founded();
-  assert.equal(bench.replace('c2', 7), true);
-  assert.equal(bench.replace('c3', 5), true);
-  assert.equal(bench.read('c1'), 7);
+  const harness = createCluster();
+  assert.equal(harness.replace('c2', 7), true);
+  assert.equal(harness.replace('c3', 5), true);
+  assert.equal(harness.read('c1'), 7);
 });
 
 void test.test('an invalid configuration is refused, whatever its version', () => {
-  const bench = founded();
+  const harness = createCluster();
   let refused = '';
-  bench.trafficOf('c1').replace('bad', (result) => {
+  harness.trafficOf('c1').replace('bad', (result) => {
     refused = result.err ? result.val.kind : '';
   });
   assert.equal(refused, 'badInput');
 });
 
-// A leader is cut off from the others and still believes that it leads; they have elected another and changed the
-// configuration. A read from the old one must not show the old version.
-void test.test('a leader that is cut off answers no read', () => {
-  const bench = founded();
-  bench.replace('c1', 7);
-  const old = bench.leader();
-  const others = SEEDS.filter((seed) => seed !== old);
+// A partitioned leader that does not know of its successor must not return an older version.
+void test.test('a partitioned leader answers no read', () => {
+  const harness = createCluster();
+  harness.replace('c1', 7);
+  const oldLeader = harness.leader();
+  const others = SEEDS.filter((seed) => seed !== oldLeader);
   for (const other of others) {
-    bench.cut(old, other);
+    harness.cut(oldLeader, other);
   }
-  assert.equal(bench.read(old), undefined);
-  bench.time.advance(3_000);
-  assert.equal(bench.replace(others[0] ?? '', 9), true);
-  assert.equal(bench.read(old), undefined);
-  bench.heal();
-  bench.time.advance(2_000);
-  assert.equal(bench.read(old), 9);
+  assert.equal(harness.read(oldLeader), undefined);
+  harness.time.advance(3_000);
+  assert.equal(harness.replace(others[0] ?? '', 9), true);
+  assert.equal(harness.read(oldLeader), undefined);
+  harness.heal();
+  harness.time.advance(2_000);
+  assert.equal(harness.read(oldLeader), 9);
 });
 
-// A VM loses its disk and comes back empty at its old address; right after it is repaired a second one loses its
-// disk. What was acknowledged before both must be there.
-void test.test('two disks lost one after another lose nothing', () => {
-  const bench = founded();
-  bench.replace('c1', 7);
+// Two replicas in turn lose their disks and restart empty at their old addresses. Changes acknowledged before must
+// survive.
+void test.test('no change is lost when two disks fail one after another', () => {
+  const harness = createCluster();
+  harness.replace('c1', 7);
   for (const lost of ['c3', 'c2']) {
-    bench.loseDisk(lost);
-    bench.time.advance(200);
-    bench.start(lost);
-    bench.time.advance(CATCH_UP);
-    assert.deepEqual([...bench.voters()].sort(), SEEDS);
+    harness.loseDisk(lost);
+    harness.time.advance(200);
+    harness.start(lost);
+    harness.time.advance(CATCH_UP);
+    assert.deepEqual([...harness.voters()].sort(), SEEDS);
   }
-  bench.kill('c1');
-  bench.time.advance(4_000);
-  assert.equal(bench.read('c2'), 7);
+  harness.kill('c1');
+  harness.time.advance(4_000);
+  assert.equal(harness.read('c2'), 7);
 });
 
-// A VM is gone for good and an empty one comes at another address, which no setting names. It takes the lost one's
-// place without an operator, and the next loss is tolerated.
-void test.test('a VM at another address takes the place of one that is gone for good', () => {
-  const bench = founded();
-  bench.replace('c1', 7);
-  bench.loseDisk('c3');
-  bench.time.advance(1_000);
-  bench.start('c4');
-  bench.time.advance(CATCH_UP);
-  assert.deepEqual([...bench.voters()].sort(), ['c1', 'c2', 'c4']);
-  bench.kill(bench.leader());
-  bench.time.advance(4_000);
-  assert.equal(bench.read('c4'), 7);
+// The new VM is listed in no settings. It must replace the lost one without an operator, so that another loss is
+// tolerated.
+void test.test('a VM at another address replaces one that is permanently lost', () => {
+  const harness = createCluster();
+  harness.replace('c1', 7);
+  harness.loseDisk('c3');
+  harness.time.advance(1_000);
+  harness.start('c4');
+  harness.time.advance(CATCH_UP);
+  assert.deepEqual([...harness.voters()].sort(), ['c1', 'c2', 'c4']);
+  harness.kill(harness.leader());
+  harness.time.advance(4_000);
+  assert.equal(harness.read('c4'), 7);
 });
 
-// A voter is frozen or cut off for longer than the others wait, and is removed. On its return nobody sends it
-// anything; it must notice and join again.
-void test.test('a voter that was removed while it was cut off joins again', () => {
-  const bench = founded();
-  bench.start('c4');
-  bench.time.advance(CATCH_UP);
-  assert.equal(bench.voters().length, 4);
-  const away = SEEDS.find((seed) => seed !== bench.leader()) ?? '';
-  for (const other of [...SEEDS, 'c4'].filter((seed) => seed !== away)) {
-    bench.cut(away, other);
+// No replica contacts a voter that was removed; after the partition heals it must detect the removal and rejoin.
+void test.test('a voter that was removed during a partition rejoins', () => {
+  const harness = createCluster();
+  harness.start('c4');
+  harness.time.advance(CATCH_UP);
+  assert.equal(harness.voters().length, 4);
+  const removed = SEEDS.find((seed) => seed !== harness.leader()) ?? '';
+  for (const other of [...SEEDS, 'c4'].filter((seed) => seed !== removed)) {
+    harness.cut(removed, other);
   }
-  bench.time.advance(6_000);
-  assert.equal(bench.voters().includes(away), false);
-  bench.heal();
-  bench.time.advance(6_000);
-  assert.equal(bench.voters().includes(away), true);
+  harness.time.advance(6_000);
+  assert.equal(harness.voters().includes(removed), false);
+  harness.heal();
+  harness.time.advance(6_000);
+  assert.equal(harness.voters().includes(removed), true);
 });
 
-void test.test('an empty replica with other seeds down founds nothing', () => {
-  const bench = founded();
-  bench.replace('c1', 7);
-  bench.kill('c1');
-  bench.kill('c2');
-  bench.loseDisk('c3');
-  bench.start('c3');
-  bench.time.advance(5_000);
-  assert.equal(bench.leader(), '');
+void test.test('an empty replica forms no new cluster while the other seeds are down', () => {
+  const harness = createCluster();
+  harness.replace('c1', 7);
+  harness.kill('c1');
+  harness.kill('c2');
+  harness.loseDisk('c3');
+  harness.start('c3');
+  harness.time.advance(5_000);
+  assert.equal(harness.leader(), '');
 });
 
-void test.test('a change is at every entry at once, also from a replica that does not lead', () => {
-  const bench = founded();
-  const entry = bench.watch('e1');
-  bench.time.advance(1_000);
-  const follower = SEEDS.find((seed) => seed !== bench.leader()) ?? '';
-  assert.equal(bench.replace(follower, 7), true);
-  assert.equal(entry.taken.at(-1)?.version, 7);
+void test.test('a change reaches entries immediately, also when a follower accepts it', () => {
+  const harness = createCluster();
+  const entry = harness.watch('e1');
+  harness.time.advance(1_000);
+  const follower = SEEDS.find((seed) => seed !== harness.leader()) ?? '';
+  assert.equal(harness.replace(follower, 7), true);
+  assert.equal(entry.configurations.at(-1)?.version, 7);
 });
 
-// The leader is cut off from the other replicas but not from the entry. The entry must hear of the change that the
-// others acknowledge, and never go back.
-void test.test('an entry takes the newest of all replicas', () => {
-  const bench = founded();
-  const entry = bench.watch('e1');
-  bench.replace('c1', 7);
-  const old = bench.leader();
-  const others = SEEDS.filter((seed) => seed !== old);
+// An entry that still reaches a partitioned leader must receive the change that the other replicas acknowledge, and
+// never return to an older version.
+void test.test('an entry applies the newest configuration of all replicas', () => {
+  const harness = createCluster();
+  const entry = harness.watch('e1');
+  harness.replace('c1', 7);
+  const oldLeader = harness.leader();
+  const others = SEEDS.filter((seed) => seed !== oldLeader);
   for (const other of others) {
-    bench.cut(old, other);
+    harness.cut(oldLeader, other);
   }
-  bench.time.advance(3_000);
-  assert.equal(bench.replace(others[0] ?? '', 9), true);
-  bench.time.advance(1_000);
+  harness.time.advance(3_000);
+  assert.equal(harness.replace(others[0] ?? '', 9), true);
+  harness.time.advance(1_000);
   assert.deepEqual(
-    entry.taken.map((traffic) => traffic.version),
+    entry.configurations.map((traffic) => traffic.version),
     [7, 9],
   );
 });
 
-// A runner gives notice to one replica. Every entry must know within moments, also one that cannot reach that
-// replica: requests sent to the runner two seconds later would be lost with it.
-void test.test('a notice reaches entries that see other replicas only', () => {
-  const bench = founded();
-  const entry = bench.watch('e1');
-  bench.time.advance(1_000);
-  bench.trafficOf('c2').announce(controlBench.announcementOf('i1', 1));
-  bench.time.advance(500);
+// An entry that cannot reach the replica that received a termination notice must still receive it in time: requests sent
+// to the instance later would be lost.
+void test.test('a termination notice reaches entries that are connected to other replicas only', () => {
+  const harness = createCluster();
+  const entry = harness.watch('e1');
+  harness.time.advance(1_000);
+  harness.trafficOf('c2').announce(controlBench.announcementOf('i1', 1));
+  harness.time.advance(500);
   assert.equal(entry.view.readyOf('llm').length, 1);
-  bench.cut('e1', 'c1');
-  bench.trafficOf('c1').leave('i1', undefined);
-  bench.time.advance(500);
+  harness.cut('e1', 'c1');
+  harness.trafficOf('c1').leave('i1', undefined);
+  harness.time.advance(500);
   assert.equal(entry.view.readyOf('llm').length, 0);
 });
 
-void test.test('a replica without a quorum acknowledges no notice', () => {
-  const bench = founded();
-  bench.watch('e1');
-  bench.time.advance(1_000);
-  assert.equal(bench.trafficOf('c1').mayAcknowledge(), true);
-  bench.cut('c1', 'c2');
-  bench.cut('c1', 'c3');
-  bench.time.advance(2_500);
-  assert.equal(bench.trafficOf('c1').mayAcknowledge(), false);
+void test.test('a replica without a quorum acknowledges no termination notice', () => {
+  const harness = createCluster();
+  harness.watch('e1');
+  harness.time.advance(1_000);
+  assert.equal(harness.trafficOf('c1').mayAcknowledge(), true);
+  harness.cut('c1', 'c2');
+  harness.cut('c1', 'c3');
+  harness.time.advance(2_500);
+  assert.equal(harness.trafficOf('c1').mayAcknowledge(), false);
 });
 
-void test.test('entries that are silent are not given to callers', () => {
-  const bench = founded();
-  bench.watch('e1');
-  bench.time.advance(1_000);
-  assert.equal(bench.trafficOf('c1').entriesFor({ host: 'h', dataCentre: 'a', region: '' }, 10).length, 1);
-  bench.kill('e1');
-  bench.time.advance(3_000);
-  assert.equal(bench.trafficOf('c1').entriesFor({ host: 'h', dataCentre: 'a', region: '' }, 10).length, 0);
+void test.test('entries that stopped watching are not returned to callers', () => {
+  const harness = createCluster();
+  harness.watch('e1');
+  harness.time.advance(1_000);
+  assert.equal(harness.trafficOf('c1').entriesFor({ host: 'h', dataCentre: 'a', region: '' }, 10).length, 1);
+  harness.kill('e1');
+  harness.time.advance(3_000);
+  assert.equal(harness.trafficOf('c1').entriesFor({ host: 'h', dataCentre: 'a', region: '' }, 10).length, 0);
 });
 
-// Changes follow each other twenty times a second. If each replica sent each of them to every entry, the entries'
-// links would be full of configurations, and their callers would wait a quarter of a second behind them.
-void test.test(
-  'changes in quick succession are sent to an entry once in a while, and the last one soon',
-  () => {
-    const bench = founded();
-    const entry = bench.watch('e');
-    bench.time.advance(100);
-    for (let version = 1; version <= 40; version += 1) {
-      bench.trafficOf('c1').replace(controlBench.textOf(version), () => undefined);
-      bench.time.advance(50);
-    }
-    bench.time.advance(400);
-    assert.equal(entry.taken.at(-1)?.version, 40);
-    assert.ok(bench.textsSentTo('e') <= 14, `${bench.textsSentTo('e')} sent`);
-  },
-);
+// If every replica sent every change to every entry, configurations would saturate the entries' links and delay calls.
+void test.test('frequent changes are sent to an entry at a limited rate, and the last one soon', () => {
+  const harness = createCluster();
+  const entry = harness.watch('e');
+  harness.time.advance(100);
+  for (let version = 1; version <= 40; version += 1) {
+    harness.trafficOf('c1').replace(controlBench.configurationText(version), () => undefined);
+    harness.time.advance(50);
+  }
+  harness.time.advance(400);
+  assert.equal(entry.configurations.at(-1)?.version, 40);
+  assert.ok(harness.configurationsSentTo('e') <= 14, `${harness.configurationsSentTo('e')} sent`);
+});
 
-/** An entry to which some replica is just sending version 9. */
-function withVersionOnItsWay(): {
-  readonly bench: controlBench.ControlBench;
+/** Creates an entry to which a replica is sending version 9. */
+function entryWithPendingFetch(): {
+  readonly harness: controlBench.ControlBench;
   readonly entry: ReturnType<controlBench.ControlBench['watch']>;
 } {
-  const bench = founded();
-  const entry = bench.watch('e');
-  bench.time.advance(100);
-  bench.trafficOf('c1').replace(controlBench.textOf(9), () => undefined);
-  while (bench.textsSentTo('e') === 0) {
-    bench.time.advance(0.25);
+  const harness = createCluster();
+  const entry = harness.watch('e');
+  harness.time.advance(100);
+  harness.trafficOf('c1').replace(controlBench.configurationText(9), () => undefined);
+  while (harness.configurationsSentTo('e') === 0) {
+    harness.time.advance(0.25);
   }
-  return { bench, entry };
+  return { harness, entry };
 }
 
-// The replica that tells of a change first falls silent before it has sent it. Another one has it too.
-void test.test('a configuration is fetched from another replica where the first does not send it', () => {
-  const { bench, entry } = withVersionOnItsWay();
-  const [first = ''] = SEEDS.filter((seed) => bench.lastTextFrom === seed);
-  bench.cut(first, 'e');
-  bench.time.advance(1_500);
-  assert.equal(entry.taken.at(-1)?.version, 9);
+// The replica that the entry fetches from becomes unreachable before its answer arrives.
+void test.test('a configuration is fetched from another replica if the first does not send it', () => {
+  const { harness, entry } = entryWithPendingFetch();
+  const [first = ''] = SEEDS.filter((seed) => harness.lastConfigurationFrom === seed);
+  harness.cut(first, 'e');
+  harness.time.advance(1_500);
+  assert.equal(entry.configurations.at(-1)?.version, 9);
 });
 
-// The entry is cut off from everybody while it fetches. When the cut heals nothing new happens; the version it
-// missed must come all the same.
-void test.test('a configuration that could not be fetched is fetched when the cut heals', () => {
-  const { bench, entry } = withVersionOnItsWay();
+// The entry is partitioned from all replicas during a fetch. It must receive the missed version after the partition
+// heals, although no further change is announced.
+void test.test('a configuration that could not be fetched is fetched after the partition heals', () => {
+  const { harness, entry } = entryWithPendingFetch();
   for (const seed of SEEDS) {
-    bench.cut(seed, 'e');
+    harness.cut(seed, 'e');
   }
-  bench.time.advance(6_000);
-  assert.equal(entry.taken.length, 0);
-  bench.heal();
-  bench.time.advance(2_500);
-  assert.equal(entry.taken.at(-1)?.version, 9);
+  harness.time.advance(6_000);
+  assert.equal(entry.configurations.length, 0);
+  harness.heal();
+  harness.time.advance(2_500);
+  assert.equal(entry.configurations.at(-1)?.version, 9);
 });
 
-// Everything has been killed, and replicas hear from one entry after another again. An entry that took itself for one
-// of three would use a third of the repeats that are meant for all.
-void test.test(
-  'an entry takes no share of what all entries share before replicas have heard from them',
-  () => {
-    const bench = founded();
-    const entries = Array.from({ length: 8 }, (_, index) => bench.watch(`e${index}`));
-    bench.time.advance(1_000);
-    assert.deepEqual(
-      entries.map(({ watch }) => watch.shareOfEntries),
-      entries.map(() => 0),
-    );
-    bench.time.advance(2_000);
-    assert.deepEqual(
-      entries.map(({ watch }) => watch.shareOfEntries),
-      entries.map(() => 1 / 8),
-    );
-  },
-);
+// After a restart of all processes replicas know only some of the entries. An entry that used their count would take too
+// large a share of the limits that all entries divide.
+void test.test('an entry has no share of common limits until replicas know all entries', () => {
+  const harness = createCluster();
+  const entries = Array.from({ length: 8 }, (_, index) => harness.watch(`e${index}`));
+  harness.time.advance(1_000);
+  assert.deepEqual(
+    entries.map(({ watch }) => watch.shareOfEntries),
+    entries.map(() => 0),
+  );
+  harness.time.advance(2_000);
+  assert.deepEqual(
+    entries.map(({ watch }) => watch.shareOfEntries),
+    entries.map(() => 1 / 8),
+  );
+});
--- a/packages/kumquatfront/src/trafficControl/trafficControl.ts
+++ b/packages/kumquatfront/src/trafficControl/trafficControl.ts
@@ -1,6 +1,6 @@
 /**
- * The part of a control replica that serves traffic: it takes whole configurations and announcements in,
- * tells entries of both as soon as they change, and lets the leader's coordinator place generations.
+ * Traffic service of a control replica: accepts traffic configurations and instance announcements, sends both to
+ * entries as they change, and runs a coordinator that places generations.
  */
 import type * as agreedState from '../agreedState/agreedState.js';
 import type * as agreedTypes from '../agreedState/types.js';
@@ -21,12 +21,12 @@
 import type * as trafficTypes from '../traffic/types.js';
 import type * as warmUpBounds from '../warmUp/warmUpBounds.js';
 import * as entryDirectory from './entryDirectory.js';
-import * as instanceSpread from './instanceSpread.js';
+import * as instanceGossip from './instanceGossip.js';
 import * as methods from './methods.js';
 import * as openWatches from './openWatches.js';
 import * as operatorCalls from './operatorCalls.js';
 
-/** What the part is made from. */
+/** Settings and dependencies of {@link TrafficControl}. */
 export interface TrafficControlOptions {
   readonly replica: replica.Replica;
   readonly state: agreedState.AgreedState;
@@ -38,46 +38,46 @@
   readonly peerAddress: string;
   readonly dataCentre: string;
   readonly decode: trafficTypes.DecodeTraffic;
-  /** Region of each data centre, by name; empty where the settings name none. */
+  /** Region of each data centre, by name; empty if none is configured. */
   readonly regions: residency.Regions;
-  /** How far all that send may pass what a cold upstream tolerates. */
+  /** Margin by which all senders together may exceed what a cold upstream tolerates. */
   readonly warmUpTolerance: warmUpBounds.WarmUpTolerance;
-  /** Voters that must stand before the first change is taken. */
+  /** Minimum number of voters before a change is accepted. */
   readonly leastVoters: number;
-  /** Voters that must stand where others are about to join. */
+  /** Minimum number of voters while more replicas are about to join. */
   readonly wantedVoters: number;
-  /** True where a replica is about to become a voter. */
+  /** Whether replicas are about to become voters. */
   readonly isGathering: () => boolean;
-  /** Mechanisms of placement in use; all of them where this is left out. */
+  /** Enabled placement mechanisms; all if omitted. */
   readonly isOn?: mechanisms.IsOn;
 }
 
-/** How often instances are checked for silence and news goes to the other replicas. */
+/** Interval at which instance leases are checked and pending gossip is sent. */
 const GOSSIP_INTERVAL: ports.Milliseconds = 250;
 
-/** How often a replica looks whether it is fresh still; and while it is not, which entries that start wait for. */
-const FRESHNESS_INTERVAL: ports.Milliseconds = 40;
-const FRESHNESS_WAIT: ports.Milliseconds = 10;
+/** Interval of the freshness check; shorter while the replica is stale, because starting entries wait for it. */
+const FRESHNESS_CHECK_INTERVAL: ports.Milliseconds = 40;
+const STALE_CHECK_INTERVAL: ports.Milliseconds = 10;
 
-/** Where a caller is, and where it wants to go. */
+/** Location of a caller and the host it requests. */
 export interface CallerPlace {
   readonly host: string;
   readonly dataCentre: string;
-  /** Empty where the caller does not say. */
+  /** Empty if the caller does not state it. */
   readonly region: string;
 }
 
-/** The part; see the module comment. */
+/** Traffic service of one control replica. */
 export class TrafficControl {
   private readonly options: TrafficControlOptions;
   private readonly table: instanceTable.InstanceTable;
   private readonly coordinator: coordinator.Coordinator;
   private readonly entries: entryDirectory.EntryDirectory;
   private readonly watches: openWatches.OpenWatches;
-  private readonly cases: caseBook.CaseBook;
-  private readonly instances: instanceSpread.InstanceSpread;
-  private readonly calls: operatorCalls.OperatorCalls;
-  /** Data centres that were evacuated when a command was applied last. */
+  private readonly crashRecords: caseBook.CaseBook;
+  private readonly gossip: instanceGossip.InstanceGossip;
+  private readonly operatorCalls: operatorCalls.OperatorCalls;
+  /** Data centres that were evacuated after the last applied command. */
   private evacuated: readonly string[] = [];
   private decoded: routeTable.RouteTable | undefined;
 
@@ -103,7 +103,7 @@
         });
       },
     });
-    this.cases = new caseBook.CaseBook({
+    this.crashRecords = new caseBook.CaseBook({
       now: () => timers.now(),
       log,
       metrics,
@@ -111,7 +111,7 @@
       mayLead: () => options.replica.mayLead(),
       mostAgreed: options.state.mostQuarantined,
       propose: (command) => {
-        this.proposeCase(command);
+        this.proposeQuarantineChange(command);
       },
     });
     this.watches = new openWatches.OpenWatches({
@@ -120,32 +120,32 @@
       state: () => this.watchedState(),
       answer: (request) => this.watchAnswer(request),
     });
-    this.instances = new instanceSpread.InstanceSpread({
+    this.gossip = new instanceGossip.InstanceGossip({
       table: this.table,
       timers,
       log,
       peers,
       peerAddress: options.peerAddress,
-      members: () => options.replica.status().members.map((member) => member.address),
-      wakeEntries: () => {
+      memberAddresses: () => options.replica.status().members.map((member) => member.address),
+      notifyEntries: () => {
         this.wakeWatches();
       },
-      wakeCoordinator: () => {
+      notifyCoordinator: () => {
         this.coordinator.instancesChanged();
       },
     });
-    this.calls = new operatorCalls.OperatorCalls({
+    this.operatorCalls = new operatorCalls.OperatorCalls({
       ...options,
       dataCentres: [...options.regions.keys()],
-      changed: () => {
+      onChangeSettled: () => {
         this.wakeWatches();
       },
     });
     this.serve();
-    this.calls.serve();
+    this.operatorCalls.serve();
     let wasFresh = false;
     timers.every(
-      () => (wasFresh ? FRESHNESS_INTERVAL : FRESHNESS_WAIT),
+      () => (wasFresh ? FRESHNESS_CHECK_INTERVAL : STALE_CHECK_INTERVAL),
       () => {
         const isFresh = options.replica.isFresh();
         if (isFresh !== wasFresh) {
@@ -158,7 +158,7 @@
     timers.every(
       () => GOSSIP_INTERVAL,
       () => {
-        this.beat();
+        this.tick();
       },
     );
   }
@@ -175,21 +175,21 @@
       reply(results.Ok(traffic !== undefined && traffic.version > above ? traffic : null));
     });
     peers.serve(names.gossip, (parameters, reply) => {
-      this.instances.hear((parameters as methods.Gossip).records);
+      this.gossip.mergeGossip((parameters as methods.Gossip).records);
       reply(results.Ok(null));
     });
     peers.serve(names.cases, (parameters, reply) => {
-      if (this.cases.hear((parameters as methods.CaseReport).cases)) {
+      if (this.crashRecords.hear((parameters as methods.CaseReport).cases)) {
         this.wakeWatches();
       }
       reply(results.Ok(null));
     });
     peers.serve(names.ended, (parameters, reply) => {
-      this.instances.end((parameters as methods.EndedInstances).instances);
+      this.gossip.removeCrashed((parameters as methods.EndedInstances).instances);
       reply(results.Ok(null));
     });
     peers.serve(names.rateLimit, (parameters, reply) => {
-      this.instances.hearRateLimit(parameters as methods.HeardRateLimit);
+      this.gossip.recordRateLimit(parameters as methods.HeardRateLimit);
       reply(results.Ok(null));
     });
     peers.serve(names.place, (parameters, reply) => {
@@ -205,14 +205,14 @@
     });
   }
 
-  /** Called after each command that the log applied here. */
+  /** Called after each log command that is applied at this replica. */
   applied(): void {
     const { dataCentres } = this.options.state.evacuations;
-    const evacuated = dataCentres.map((held) => held.dataCentre);
-    // Upstreams may have become cold while nobody asked them, and say so with their next announcement only: a second
-    // later at worst. By then all that waits could have been sent there.
+    const evacuated = dataCentres.map((record) => record.dataCentre);
+    // Upstreams may have turned cold while they received no requests, and report it only with their next announcement.
+    // Until then all queued requests could be sent to them.
     for (const dataCentre of this.evacuated.filter((former) => !evacuated.includes(former))) {
-      this.instances.restored(
+      this.gossip.assumeCold(
         dataCentre,
         (service) => this.routes()?.serviceOf(service)?.warmUp?.duration ?? 0,
       );
@@ -222,10 +222,10 @@
   }
 
   private isEvacuated(dataCentre: string): boolean {
-    return this.options.state.evacuations.dataCentres.some((held) => held.dataCentre === dataCentre);
+    return this.options.state.evacuations.dataCentres.some((record) => record.dataCentre === dataCentre);
   }
 
-  private proposeCase(command: agreedTypes.QuarantineCommand | agreedTypes.ReleaseCommand): void {
+  private proposeQuarantineChange(command: agreedTypes.QuarantineCommand | agreedTypes.ReleaseCommand): void {
     const { replica: own, log } = this.options;
     own.propose(command, (result) => {
       const outcome = result.ok ? 'agreed' : failures.describe(result.val);
@@ -234,9 +234,9 @@
   }
 
   private onReport(report: placementTypes.EntryReport): void {
-    this.instances.vouch(report.unlisted);
+    this.gossip.addReported(report.unlisted);
     this.coordinator.report(report);
-    this.instances.leave(report.leaving);
+    this.gossip.markDraining(report.leaving);
   }
 
   private onPlace(request: methods.PlaceRequest, reply: ports.Reply): void {
@@ -245,67 +245,67 @@
     });
   }
 
-  /** The configuration in force here, decoded once for each version. */
+  /** Routes of the configuration in force at this replica, decoded once per version. */
   private routes(): routeTable.RouteTable | undefined {
     const { state, decode, log } = this.options;
-    const held = state.traffic;
-    if (held === undefined || this.decoded?.version === held.version) {
+    const traffic = state.traffic;
+    if (traffic === undefined || this.decoded?.version === traffic.version) {
       return this.decoded;
     }
-    const decoded = decode(held.text);
+    const decoded = decode(traffic.text);
     if (decoded.err) {
-      log.error('trafficUnreadable', { version: held.version, reason: failures.describe(decoded.val) });
+      log.error('trafficUnreadable', { version: traffic.version, reason: failures.describe(decoded.val) });
       return this.decoded;
     }
     this.decoded = new routeTable.RouteTable(decoded.val);
     return this.decoded;
   }
 
-  /** Takes an operator's configuration; see `operatorCalls`. */
+  /** Validates and commits an operator's configuration; see `operatorCalls`. */
   replace(text: string, done: ports.Reply): void {
-    this.calls.replace(text, done);
+    this.operatorCalls.replace(text, done);
   }
 
-  /** Reads the newest configuration; a failure where this cannot be certain. */
+  /** Reads the newest configuration; fails if a quorum does not confirm that it is the newest. */
   read(done: (result: results.Result<trafficTypes.VersionedText | null, failures.Failure>) => void): void {
-    this.calls.read(done);
+    this.operatorCalls.read(done);
   }
 
-  /** Evacuates a data centre, or restores it. */
+  /** Evacuates or restores a data centre. */
   orderDataCentre(command: agreedTypes.DataCentreCommand, done: ports.Reply): void {
-    this.calls.orderDataCentre(command, done);
+    this.operatorCalls.orderDataCentre(command, done);
   }
 
-  /** Takes an announcement of an instance; it is on its way to all entries when this returns. */
+  /** Applies an instance's announcement; updates to replicas and entries have been triggered when this returns. */
   announce(announcement: instanceTypes.Announcement): void {
-    this.instances.announce(announcement);
+    this.gossip.announce(announcement);
   }
 
-  /** Takes an instance's notice that it leaves, which gives its name and perhaps its start. */
+  /** Applies an instance's termination notice, which states its name and optionally its start time. */
   leave(name: string, born: number | undefined): void {
-    this.instances.leaveByName(name, born);
+    this.gossip.markDrainingByName(name, born);
   }
 
-  private beat(): void {
+  private tick(): void {
     const now = this.options.timers.now();
-    this.instances.beat();
+    this.gossip.tick();
     for (const entry of this.entries.expire(now)) {
       this.options.log.info('entryLost', { entry });
     }
-    this.cases.beat();
+    this.crashRecords.beat();
     this.wakeWatches();
   }
 
   private onWatch(request: methods.WatchRequest, reply: ports.Reply): void {
     const now = this.options.timers.now();
     const { entry } = request;
-    if (this.entries.hear(entry, now)) {
+    if (this.entries.recordStatus(entry, now)) {
       this.options.log.info('entryFound', { entry: entry.name, state: entry.state });
     }
     this.watches.open(request, reply);
   }
 
-  /** Answers every watch that has news; called whenever there may be some. */
+  /** Answers every watch that is due; called whenever the state of this replica may have changed. */
   wakeWatches(): void {
     this.watches.wake();
   }
@@ -316,7 +316,7 @@
     return {
       trafficVersion: state.traffic?.version ?? 0,
       fresh,
-      caseRevision: this.cases.revision,
+      caseRevision: this.crashRecords.revision,
       evacuationRevision: state.evacuations.revision,
       leaderTerm: leader === undefined ? 0 : term,
     };
@@ -328,13 +328,13 @@
     const control = status.members.map((member) => member.address);
     const isCurrent = request.epoch === this.table.epoch && request.revision === this.table.currentRevision;
     const { evacuations } = state;
-    const cases = this.cases.newsSince(request.epoch === this.table.epoch ? request.caseRevision : 0);
+    const cases = this.crashRecords.newsSince(request.epoch === this.table.epoch ? request.caseRevision : 0);
     return {
       dataCentre,
       ...(!isCurrent && {
         instances: this.table.newsSince(request.epoch, request.revision, timers.now()),
       }),
-      ...(methods.digestOf(control) !== request.controlDigest && { control }),
+      ...(methods.replicaSetDigest(control) !== request.controlDigest && { control }),
       trafficVersion: state.traffic?.version ?? 0,
       fresh: status.fresh,
       leaderTerm: status.term,
@@ -346,18 +346,18 @@
   }
 
   /**
-   * True where a notice may be acknowledged: entries hear of it from here, and this replica is not cut off
-   * from the others, which tell the rest.
+   * Whether a termination notice may be acknowledged: entries watch this replica, and it reaches a quorum of the other
+   * replicas, which notify the remaining entries.
    */
   mayAcknowledge(): boolean {
     return this.options.replica.isFresh() && this.entries.size > 0;
   }
 
   /**
-   * Entries that callers may be given, as this replica hears from them. Bodies that must stay at home pass through
-   * entries at home or in the caller's region.
+   * Entries to return to a caller, of those with a current lease at this replica. For a host whose routes restrict
+   * regions, entries in those regions or in the caller's region are preferred.
    */
-  entriesFor(caller: CallerPlace, most: number): readonly methods.EntryNews[] {
+  entriesFor(caller: CallerPlace, limit: number): readonly methods.EntryNews[] {
     const { regions, timers } = this.options;
     const homes = this.routes()?.homesOf(caller.host) ?? [];
     const region = regions.get(caller.dataCentre) ?? caller.region;
@@ -365,6 +365,6 @@
       const there = regions.get(dataCentre) ?? '';
       return homes.length === 0 || there === region || homes.every((home) => home.includes(there));
     };
-    return this.entries.choose(caller.dataCentre, most, timers.now(), mayPass);
+    return this.entries.choose(caller.dataCentre, limit, timers.now(), mayPass);
   }
 }
--- a/packages/scenarios/src/scripts/dataCentreSafeguards.ts
+++ b/packages/scenarios/src/scripts/dataCentreSafeguards.ts
@@ -127,7 +127,7 @@
   {
     name: 'a caller is given entries through which its bodies may pass',
     file: 'trafficControl/entryDirectory.js',
-    find: 'const usable = passed.length > 0 ? passed : ready;',
+    find: 'const usable = allowed.length > 0 ? allowed : ready;',
     replace: 'const usable = ready;',
     scenario: 'spec:trafficControl/entryDirectory',
   },
--- a/packages/scenarios/src/scripts/quarantineSafeguards.ts
+++ b/packages/scenarios/src/scripts/quarantineSafeguards.ts
@@ -49,8 +49,8 @@
   {
     name: 'entries are told of cases at once',
     file: 'trafficControl/openWatches.js',
-    find: 'const newCases = request.caseRevision < state.caseRevision;',
-    replace: 'const newCases = false;',
+    find: 'const newCrashRecords = request.caseRevision < state.caseRevision;',
+    replace: 'const newCrashRecords = false;',
     scenario: SYSTEM,
   },
   {
--- a/packages/scenarios/src/scripts/relaySafeguards.ts
+++ b/packages/scenarios/src/scripts/relaySafeguards.ts
@@ -246,22 +246,22 @@
   },
   {
     name: 'configurations are fetched with a pause between',
-    file: 'trafficControl/trafficFetch.js',
-    find: 'const PAUSE = 200;',
-    replace: 'const PAUSE = 0;',
+    file: 'trafficControl/trafficConfigurationFetcher.js',
+    find: 'const FETCH_INTERVAL = 200;',
+    replace: 'const FETCH_INTERVAL = 0;',
     scenario: CONTROL,
   },
   {
     name: 'a silent replica is not the only one that is asked for a configuration',
-    file: 'trafficControl/trafficFetch.js',
-    find: 'this.fetchSoon(this.fetchedAt + SECOND_AFTER - now);',
+    file: 'trafficControl/trafficConfigurationFetcher.js',
+    find: 'this.scheduleFetch(this.lastFetchAt + HEDGE_DELAY - now);',
     replace: '',
     scenario: CONTROL,
   },
   {
     name: 'a replica that did not send a configuration may be asked again',
-    file: 'trafficControl/trafficFetch.js',
-    find: 'this.asked.delete(address);',
+    file: 'trafficControl/trafficConfigurationFetcher.js',
+    find: 'this.pending.delete(address);',
     replace: '',
     scenario: CONTROL,
   },
@@ -289,7 +289,7 @@
   {
     name: 'instances that are found are told in waves',
     file: 'trafficControl/openWatches.js',
-    find: 'this.nextWaveAt = now + WAVE_PAUSE;',
+    find: 'this.nextBatchAt = now + BATCH_INTERVAL;',
     replace: '',
     scenario: 'spec:trafficControl/openWatches',
   },
@@ -310,7 +310,7 @@
   {
     name: 'an entry uses no share of the repeats before it knows how many share them',
     file: 'trafficControl/controlWatch.js',
-    find: 'return now - this.firstAnswerAt < COUNT_SETTLES ? 0 : 1',
+    find: 'return now - this.firstAnswerAt < ENTRY_COUNT_SETTLE_TIME ? 0 : 1',
     replace: 'return 1',
     scenario: 'spec:trafficControl/trafficControl',
   },
@@ -338,8 +338,8 @@
   {
     name: 'callers are not given the same few far entries',
     file: 'trafficControl/entryDirectory.js',
-    find: 'left.splice(Math.floor(this.random.next() * left.length), 1)',
-    replace: 'left.splice(0, 1)',
+    find: 'remaining.splice(Math.floor(this.random.next() * remaining.length), 1)',
+    replace: 'remaining.splice(0, 1)',
     scenario: 'spec:trafficControl/entryDirectory',
   },
   {
