--- a/packages/kumquatfront/src/trafficControl/entryDirectory.spec.ts
+++ b/packages/kumquatfront/src/trafficControl/entryDirectory.spec.ts
@@ -50,14 +50,14 @@
   () => {
     const directory = directoryOf(LARGE);
     const counts = [...callsOf(directory, 'a', 20_000)];
-    const near = counts.filter(([name]) => name.startsWith('a-')).map(([, count]) => count);
-    const far = counts.filter(([name]) => !name.startsWith('a-')).map(([, count]) => count);
+    const local = counts.filter(([name]) => name.startsWith('a-')).map(([, count]) => count);
+    const remote = counts.filter(([name]) => !name.startsWith('a-')).map(([, count]) => count);
     const sum = (values: readonly number[]): number => values.reduce((total, value) => total + value, 0);
-    assert.ok(sum(near) / 20_000 > 0.88, `${sum(near)} of 20,000 near`);
-    assert.equal(near.length, 39);
-    assert.ok(Math.max(...near) < 1.25 * (sum(near) / near.length));
-    assert.equal(far.length, 152);
-    assert.ok(Math.max(...far) < 3 * (sum(far) / far.length));
+    assert.ok(sum(local) / 20_000 > 0.88, `${sum(local)} of 20,000 local`);
+    assert.equal(local.length, 39);
+    assert.ok(Math.max(...local) < 1.25 * (sum(local) / local.length));
+    assert.equal(remote.length, 152);
+    assert.ok(Math.max(...remote) < 3 * (sum(remote) / remote.length));
   },
 );
 
--- a/packages/kumquatfront/src/trafficControl/openWatches.spec.ts
+++ b/packages/kumquatfront/src/trafficControl/openWatches.spec.ts
@@ -97,16 +97,16 @@
   'announcements of a whole fleet cost the nearest replica some batches, and the others one answer',
   () => {
     const harness = new WatchTestHarness();
-    const near = harness.recordAnswerTimes('instances');
-    const far = harness.recordAnswerTimes('leaders');
+    const nearest = harness.recordAnswerTimes('instances');
+    const other = harness.recordAnswerTimes('leaders');
     for (let index = 0; index < 100; index += 1) {
       harness.time.advance(6);
       harness.announce(`i${index}`);
     }
-    assert.ok(near.length >= 10 && near.length <= 14, `${near.length} answers of the nearest`);
-    const farDuringAnnouncements = far.length;
+    assert.ok(nearest.length >= 10 && nearest.length <= 14, `${nearest.length} answers of the nearest`);
+    const otherDuringAnnouncements = other.length;
     harness.time.advance(500);
-    assert.deepEqual([farDuringAnnouncements, far.length], [0, 1]);
+    assert.deepEqual([otherDuringAnnouncements, other.length], [0, 1]);
   },
 );
 
@@ -114,13 +114,13 @@
   'the nearest replica sends a single instance immediately, another one when its watch closes',
   () => {
     const harness = new WatchTestHarness();
-    const near = harness.recordAnswerTimes('instances');
-    const far = harness.recordAnswerTimes('leaders');
+    const nearest = harness.recordAnswerTimes('instances');
+    const other = harness.recordAnswerTimes('leaders');
     harness.time.advance(100);
     harness.announce('i');
-    assert.deepEqual(near, [100]);
+    assert.deepEqual(nearest, [100]);
     harness.time.advance(openWatches.MAX_WATCH_DURATION + 250);
-    assert.equal(far.length, 1);
+    assert.equal(other.length, 1);
   },
 );
 
@@ -130,40 +130,40 @@
   'a termination notice is sent immediately by two replicas, also between batches, and by all within a second',
   () => {
     const harness = new WatchTestHarness();
-    const near = harness.recordAnswerTimes('instances');
-    const second = harness.recordAnswerTimes('notices');
-    const far = harness.recordAnswerTimes('leaders');
+    const nearest = harness.recordAnswerTimes('instances');
+    const backup = harness.recordAnswerTimes('notices');
+    const other = harness.recordAnswerTimes('leaders');
     harness.time.advance(100);
     harness.announce('i');
     harness.time.advance(10);
     harness.table.leave('i', harness.time.now());
     harness.watches.wake();
-    assert.deepEqual([near, second], [[100, 110], [110]]);
+    assert.deepEqual([nearest, backup], [[100, 110], [110]]);
     harness.time.advance(890);
-    assert.equal(far.length, 1);
+    assert.equal(other.length, 1);
   },
 );
 
 // Entries that learn of a new leader only when their watches close cannot place generations until then.
 void test.test('a new leader is sent immediately by every replica, a new configuration by two', () => {
   const harness = new WatchTestHarness();
-  const second = harness.recordAnswerTimes('notices');
-  const far = harness.recordAnswerTimes('leaders');
+  const backup = harness.recordAnswerTimes('notices');
+  const other = harness.recordAnswerTimes('leaders');
   harness.time.advance(100);
   harness.state = { ...harness.state, leaderTerm: 2 };
   harness.watches.wake();
   harness.time.advance(10);
   harness.state = { ...harness.state, trafficVersion: 2 };
   harness.watches.wake();
-  assert.deepEqual([second, far], [[100, 110], [100]]);
+  assert.deepEqual([backup, other], [[100, 110], [100]]);
 });
 
 void test.test('a stale replica sends no leader', () => {
   const harness = new WatchTestHarness();
   harness.state = { ...harness.state, fresh: false };
-  const far = harness.recordAnswerTimes('leaders');
+  const other = harness.recordAnswerTimes('leaders');
   harness.time.advance(100);
   harness.state = { ...harness.state, leaderTerm: 2 };
   harness.watches.wake();
-  assert.deepEqual(far, []);
+  assert.deepEqual(other, []);
 });
