--- a/packages/kumquatfront/src/agreedState/agreedState.ts
+++ b/packages/kumquatfront/src/agreedState/agreedState.ts
@@ -1,6 +1,6 @@
 /**
- * The state that control replicas agree on: configuration, answers to change ids, claims and orders.
- * Deterministic: equal logs give equal states, and `digest` shows it.
+ * Replicated state of the control replicas: configuration, answers to change ids, claims, orders, quarantined contents
+ * and evacuations. Deterministic: replicas that have applied the same log have the same state and digest.
  */
 import type * as configuration from '../configuration/types.js';
 import * as validation from '../configuration/validation.js';
@@ -10,7 +10,7 @@
 import * as claimTable from './claimTable.js';
 import type * as types from './types.js';
 
-interface RememberedAnswer {
+interface RecordedAnswer {
   readonly changeId: string;
   readonly digest: string;
   readonly stamp: number;
@@ -28,41 +28,41 @@
   readonly objects: readonly configuration.ConfigurationObject[];
   readonly tombstones: readonly Tombstone[];
   readonly tombstoneFloor: number;
-  readonly answers: readonly RememberedAnswer[];
+  readonly answers: readonly RecordedAnswer[];
   readonly claims: readonly types.Claim[];
   readonly orders: readonly types.Order[];
-  /** Absent until an operator has sent a whole traffic configuration. */
+  /** Absent until an operator has sent a traffic configuration. */
   readonly traffic?: trafficTypes.VersionedText;
-  /** Contents kept from upstreams, oldest first; absent where there is none. */
+  /** Digests of quarantined contents, oldest first; absent if there are none. */
   readonly quarantined?: readonly string[];
-  /** Absent until an operator has evacuated a data centre for the first time. */
+  /** Absent until the first evacuation of a data centre. */
   readonly evacuations?: types.Evacuations;
 }
 
 const NO_EVACUATIONS: types.Evacuations = { revision: 0, dataCentres: [] };
 
-/** Bounds used where the settings give none. */
+/** Limits that apply if the settings specify none. */
 export const defaultLimits: types.AgreedStateLimits = {
   changeIdLife: 24 * 3_600_000,
   claimLife: 24 * 3_600_000,
   claimsPerAccount: 20_000,
   tombstones: 1_000,
   finishedOrders: 500,
-  // Forty bytes each: no snapshot grows by more than ten kilobytes, and so many faults at once are another kind of day.
+  // Bounds the size of snapshots.
   quarantined: 256,
 };
 
-/** The agreed state; see the module comment. */
+/** State machine of the control replicas. */
 export class AgreedState {
   private version = 0;
   private objects = new Map<string, configuration.ConfigurationObject>();
   private tombstones: Tombstone[] = [];
   private tombstoneFloor = 0;
-  private answers = new Map<string, RememberedAnswer>();
+  private answers = new Map<string, RecordedAnswer>();
   private orders = new Map<string, types.Order>();
-  private heldTraffic: trafficTypes.VersionedText | undefined;
-  private heldQuarantined: readonly string[] = [];
-  private heldEvacuations = NO_EVACUATIONS;
+  private currentTraffic: trafficTypes.VersionedText | undefined;
+  private currentQuarantined: readonly string[] = [];
+  private currentEvacuations = NO_EVACUATIONS;
   private readonly claims: claimTable.ClaimTable;
   private readonly limits: types.AgreedStateLimits;
 
@@ -71,7 +71,7 @@
     this.claims = new claimTable.ClaimTable(limits);
   }
 
-  /** Version of the newest accepted change of configuration: its index in the log. */
+  /** Version of the configuration: the log index of the latest accepted change. */
   get configurationVersion(): number {
     return this.version;
   }
@@ -80,24 +80,24 @@
     return this.claims.size;
   }
 
-  /** The whole traffic configuration; undefined until there is one. */
+  /** Current traffic configuration; undefined until one has been accepted. */
   get traffic(): trafficTypes.VersionedText | undefined {
-    return this.heldTraffic;
+    return this.currentTraffic;
   }
 
-  /** Contents that may be quarantined at once; a further one displaces the oldest. */
+  /** Maximum number of quarantined contents; a further one evicts the oldest. */
   get mostQuarantined(): number {
     return this.limits.quarantined;
   }
 
-  /** Contents kept from upstreams; another list after each change. */
+  /** Digests of quarantined contents, oldest first; a new array after each change. */
   get quarantined(): readonly string[] {
-    return this.heldQuarantined;
+    return this.currentQuarantined;
   }
 
-  /** Data centres whose upstreams get nothing new; another value after each change. */
+  /** Evacuated data centres; a new object after each change. */
   get evacuations(): types.Evacuations {
-    return this.heldEvacuations;
+    return this.currentEvacuations;
   }
 
   /** Applies one committed command. */
@@ -128,62 +128,62 @@
   }
 
   /**
-   * An order that changes nothing is acknowledged like any other: its operator has lost the first answer. Of an
-   * evacuation and a restoration that overtake each other the one that is later in the log holds.
+   * A repeated command is acknowledged like the first: the operator may not have received the answer. Of concurrent
+   * evacuate and restore commands, the later one in the log takes effect.
    */
   private evacuate(dataCentre: string, index: number, since: number): types.Evacuations {
-    const { dataCentres } = this.heldEvacuations;
-    if (!dataCentres.some((held) => held.dataCentre === dataCentre)) {
-      this.heldEvacuations = { revision: index, dataCentres: [...dataCentres, { dataCentre, since }] };
+    const { dataCentres } = this.currentEvacuations;
+    if (!dataCentres.some((evacuated) => evacuated.dataCentre === dataCentre)) {
+      this.currentEvacuations = { revision: index, dataCentres: [...dataCentres, { dataCentre, since }] };
     }
-    return this.heldEvacuations;
+    return this.currentEvacuations;
   }
 
   private restoreDataCentre(dataCentre: string, index: number): types.Evacuations {
-    const { dataCentres } = this.heldEvacuations;
-    const left = dataCentres.filter((held) => held.dataCentre !== dataCentre);
-    if (left.length < dataCentres.length) {
-      this.heldEvacuations = { revision: index, dataCentres: left };
+    const { dataCentres } = this.currentEvacuations;
+    const remaining = dataCentres.filter((evacuated) => evacuated.dataCentre !== dataCentre);
+    if (remaining.length < dataCentres.length) {
+      this.currentEvacuations = { revision: index, dataCentres: remaining };
     }
-    return this.heldEvacuations;
+    return this.currentEvacuations;
   }
 
   private quarantinedWithout(content: string): readonly string[] {
-    return this.heldQuarantined.filter((held) => held !== content);
+    return this.currentQuarantined.filter((quarantined) => quarantined !== content);
   }
 
   private setQuarantined(contents: readonly string[]): null {
-    this.heldQuarantined = contents.slice(-this.limits.quarantined);
+    this.currentQuarantined = contents.slice(-this.limits.quarantined);
     return null;
   }
 
   /**
-   * Only a higher version takes effect. An operator whose answer was lost sends the same one again, perhaps
-   * after a higher one: taking it would put the older configuration back in force.
+   * Only a higher version takes effect: an operator that received no answer may resend a version after a higher one
+   * was accepted, and applying it would restore the older configuration.
    */
   private replaceTraffic(command: types.ReplaceTrafficCommand): types.ReplaceTrafficAnswer {
     const { version, text } = command;
-    if (this.heldTraffic === undefined || version > this.heldTraffic.version) {
-      this.heldTraffic = { version, text };
+    if (this.currentTraffic === undefined || version > this.currentTraffic.version) {
+      this.currentTraffic = { version, text };
     }
-    return { version: this.heldTraffic.version };
+    return { version: this.currentTraffic.version };
   }
 
   private configure(command: types.ConfigureCommand, index: number, stamp: number): types.ConfigureAnswer {
     this.expireAnswers(stamp);
     const digest = canonicalJson.digest([command.kind, command.name, command.expectedVersion, command.body]);
-    const remembered = this.answers.get(command.changeId);
-    // An operator whose answer was lost resends: running the change again would either fail on its own
-    // version or revert what came after it. The first answer, kept in the log's own state, outlives leaders.
-    if (remembered !== undefined) {
-      return remembered.digest === digest ? remembered.answer : changeIdReused(command.changeId);
+    const recorded = this.answers.get(command.changeId);
+    // A resent change gets the first answer: applied again, it would conflict with its own version or revert later
+    // changes. The answers are part of the replicated state, so they survive a change of leader.
+    if (recorded !== undefined) {
+      return recorded.digest === digest ? recorded.answer : changeIdReusedAnswer(command.changeId);
     }
-    const answer = this.change(command, index);
+    const answer = this.applyChange(command, index);
     this.answers.set(command.changeId, { changeId: command.changeId, digest, stamp, answer });
     return answer;
   }
 
-  private change(command: types.ConfigureCommand, index: number): types.ConfigureAnswer {
+  private applyChange(command: types.ConfigureCommand, index: number): types.ConfigureAnswer {
     const key = validation.keyOf(command.kind, command.name);
     const current = this.objects.get(key)?.version ?? 0;
     if (current !== command.expectedVersion) {
@@ -224,8 +224,8 @@
   }
 
   private expireAnswers(stamp: number): void {
-    for (const [changeId, remembered] of this.answers) {
-      if (remembered.stamp + this.limits.changeIdLife > stamp) {
+    for (const [changeId, recorded] of this.answers) {
+      if (recorded.stamp + this.limits.changeIdLife > stamp) {
         return;
       }
       this.answers.delete(changeId);
@@ -264,7 +264,7 @@
     return this.objects.get(validation.keyOf(kind, name));
   }
 
-  /** What a puller at a version lacks. */
+  /** Configuration changes since a version, for an entry that pulls them. */
   deltaSince(version: number, clusterIdentity: string): configuration.ConfigurationDelta {
     const whole = version < this.tombstoneFloor || version > this.version;
     const objects = [...this.objects.values()];
@@ -275,11 +275,11 @@
       objects: whole ? objects : objects.filter((object) => object.version > version),
       deleted: whole
         ? []
-        : this.tombstones.filter((stone) => stone.version > version).map((stone) => stone.key),
+        : this.tombstones.filter((tombstone) => tombstone.version > version).map((stone) => stone.key),
     };
   }
 
-  /** Equal on replicas that applied the same log. */
+  /** Digest of the state; equal on replicas that have applied the same log. */
   digest(): string {
     return canonicalJson.digest(this.toJson());
   }
@@ -288,15 +288,15 @@
     return {
       version: this.version,
       objects: [...this.objects.values()],
-      // A copy: the state goes on changing while the snapshot is kept and sent.
+      // Copied, because the state changes while the snapshot is stored and sent.
       tombstones: [...this.tombstones],
       tombstoneFloor: this.tombstoneFloor,
       answers: [...this.answers.values()],
       claims: this.claims.toJson(),
       orders: [...this.orders.values()],
-      ...(this.heldTraffic === undefined ? {} : { traffic: this.heldTraffic }),
-      ...(this.heldQuarantined.length === 0 ? {} : { quarantined: this.heldQuarantined }),
-      ...(this.heldEvacuations.revision === 0 ? {} : { evacuations: this.heldEvacuations }),
+      ...(this.currentTraffic === undefined ? {} : { traffic: this.currentTraffic }),
+      ...(this.currentQuarantined.length === 0 ? {} : { quarantined: this.currentQuarantined }),
+      ...(this.currentEvacuations.revision === 0 ? {} : { evacuations: this.currentEvacuations }),
     };
   }
 
@@ -310,13 +310,13 @@
     this.answers = new Map(json.answers.map((answer) => [answer.changeId, answer]));
     this.claims.restore(json.claims);
     this.orders = new Map(json.orders.map((order) => [order.orderId, order]));
-    this.heldTraffic = json.traffic;
-    this.heldQuarantined = json.quarantined ?? [];
-    this.heldEvacuations = json.evacuations ?? NO_EVACUATIONS;
+    this.currentTraffic = json.traffic;
+    this.currentQuarantined = json.quarantined ?? [];
+    this.currentEvacuations = json.evacuations ?? NO_EVACUATIONS;
   }
 }
 
-function changeIdReused(changeId: string): types.ConfigureAnswer {
+function changeIdReusedAnswer(changeId: string): types.ConfigureAnswer {
   const message = `Change id ${changeId} was used for another change.`;
   return {
     accepted: false,
--- a/packages/kumquatfront/src/agreedState/claimTable.ts
+++ b/packages/kumquatfront/src/agreedState/claimTable.ts
@@ -1,6 +1,6 @@
 /**
- * Claims on calls that are not idempotent. A claim is granted to one attempt, once; what became of it is
- * kept for its life, so that a repeat is answered and never run again.
+ * Claims on calls that are not idempotent. A claim is granted to one attempt, and its outcome is kept until the claim
+ * expires, so that a repeated call is answered from the record and not run again.
  */
 import type * as types from './types.js';
 
@@ -8,10 +8,10 @@
   return JSON.stringify([account, key]);
 }
 
-/** The claims, in the order in which they were made. */
+/** All claims, in the order of their creation. */
 export class ClaimTable {
   private claims = new Map<string, types.Claim>();
-  private perAccount = new Map<string, number>();
+  private countByAccount = new Map<string, number>();
   private readonly limits: types.AgreedStateLimits;
 
   constructor(limits: types.AgreedStateLimits) {
@@ -22,7 +22,7 @@
     return this.claims.size;
   }
 
-  /** Grants a claim, or tells what became of the one that stands. */
+  /** Grants a claim, or returns the state of the existing one. */
   claim(command: types.ClaimCommand, stamp: number): types.ClaimAnswer {
     this.expire(stamp);
     const key = keyOf(command.account, command.key);
@@ -30,8 +30,8 @@
     if (known === undefined) {
       return this.grant(key, command, stamp);
     }
-    // An attempt that was given up before its claim arrived must not be granted afterwards: its caller has
-    // been told that the call was not run. A new attempt may run it.
+    // An attempt that was abandoned before its claim arrived must not be granted afterwards: its caller was told
+    // that the call was not run. A new attempt may run it.
     if (known.state === 'notRun') {
       return known.attempt === command.attempt ? { state: 'unknown' } : this.regrant(key, command, stamp);
     }
@@ -44,13 +44,13 @@
     if (known.state === 'unknown') {
       return { state: 'unknown' };
     }
-    // The same attempt asks again when the answer to its claim was lost on the way.
+    // The same attempt repeats its claim if the answer was lost.
     return known.attempt === command.attempt
       ? { state: 'granted' }
       : { state: 'pending', holder: known.holder };
   }
 
-  /** Ends a claim; only the attempt that holds it can. */
+  /** Records the result of a claim; ignored unless sent by the attempt that holds it. */
   settle(command: types.SettleClaimCommand, stamp: number): void {
     const key = keyOf(command.account, command.key);
     const known = this.claims.get(key);
@@ -66,8 +66,8 @@
   }
 
   private grant(key: string, command: types.ClaimCommand, stamp: number): types.ClaimAnswer {
-    if ((this.perAccount.get(command.account) ?? 0) >= this.limits.claimsPerAccount) {
-      return { state: 'full', retryAfter: this.untilRoom(command.account, stamp) };
+    if ((this.countByAccount.get(command.account) ?? 0) >= this.limits.claimsPerAccount) {
+      return { state: 'full', retryAfter: this.timeUntilCapacity(command.account, stamp) };
     }
     this.store(key, { ...command, stamp, state: 'pending', outcome: null });
     return { state: 'granted' };
@@ -78,7 +78,7 @@
     return this.grant(key, command, stamp);
   }
 
-  private untilRoom(account: string, stamp: number): number {
+  private timeUntilCapacity(account: string, stamp: number): number {
     for (const claim of this.claims.values()) {
       if (claim.account === account) {
         return Math.max(0, claim.stamp + this.limits.claimLife - stamp);
@@ -90,7 +90,7 @@
   private store(key: string, source: types.Claim): void {
     const { account, digest, holder, attempt, stamp, state, outcome } = source;
     this.claims.set(key, { account, key: source.key, digest, holder, attempt, stamp, state, outcome });
-    this.perAccount.set(account, (this.perAccount.get(account) ?? 0) + 1);
+    this.countByAccount.set(account, (this.countByAccount.get(account) ?? 0) + 1);
   }
 
   private remove(key: string): void {
@@ -99,11 +99,11 @@
       return;
     }
     this.claims.delete(key);
-    const left = (this.perAccount.get(claim.account) ?? 1) - 1;
-    if (left > 0) {
-      this.perAccount.set(claim.account, left);
+    const remaining = (this.countByAccount.get(claim.account) ?? 1) - 1;
+    if (remaining > 0) {
+      this.countByAccount.set(claim.account, remaining);
     } else {
-      this.perAccount.delete(claim.account);
+      this.countByAccount.delete(claim.account);
     }
   }
 
@@ -122,7 +122,7 @@
 
   restore(claims: readonly types.Claim[]): void {
     this.claims = new Map();
-    this.perAccount = new Map();
+    this.countByAccount = new Map();
     for (const claim of claims) {
       this.store(keyOf(claim.account, claim.key), claim);
     }
--- a/packages/kumquatfront/src/agreedState/evacuationFailures.ts
+++ b/packages/kumquatfront/src/agreedState/evacuationFailures.ts
@@ -1,14 +1,14 @@
 /**
- * What an operator is told whose order names no data centre.
+ * Failures of the commands that evacuate and restore data centres.
  */
 import * as failures from '../kernel/failures.js';
 
 /**
- * Builds the failure.
+ * Creates the failure of a command that names an unknown data centre.
  *
- * @param dataCentre - what the order names
- * @param known - names of the data centres that there are
- * @returns the failure, with the names that would do
+ * @param dataCentre - the name in the command
+ * @param known - names of the existing data centres
+ * @returns a `notFound` failure that lists the existing data centres
  * @example
  * ```ts
  * evacuationFailures.unknownDataCentre('perth-z', ['perth-a', 'perth-b']);
--- a/packages/kumquatfront/src/agreedState/types.ts
+++ b/packages/kumquatfront/src/agreedState/types.ts
@@ -1,19 +1,19 @@
 /**
- * Commands of the replicated log and what the agreed state answers to them.
+ * Commands of the replicated log, and the results of applying them to the agreed state.
  */
 import type * as configuration from '../configuration/types.js';
 import type * as failures from '../kernel/failures.js';
 
-/** Changes or deletes one configured object, if it still has the expected version. */
+/** Creates, changes or deletes one configuration object if it has the expected version. */
 export interface ConfigureCommand {
   readonly type: 'configure';
-  /** Unique for one wish of an operator; a resend carries the same one. */
+  /** Unique for each change; the same when the command is resent. */
   readonly changeId: string;
   readonly kind: configuration.ConfigurationKind;
   readonly name: string;
-  /** Version the operator saw; 0 where the object must not exist yet. */
+  /** Version that the change is based on; 0 if the object must not exist yet. */
   readonly expectedVersion: number;
-  /** New body; null deletes. */
+  /** New body; null deletes the object. */
   readonly body: unknown;
 }
 
@@ -22,22 +22,22 @@
   readonly type: 'claim';
   readonly account: string;
   readonly key: string;
-  /** Digest of the request, so that one key cannot stand for two requests. */
+  /** Digest of the request; detects a key that is reused for another request. */
   readonly digest: string;
-  /** The entry that asks, for operators to read. */
+  /** Name of the entry that claims, for operators. */
   readonly holder: string;
-  /** Unique for one attempt of one entry; only this attempt may dispatch. */
+  /** Unique for each attempt; only the attempt that holds the claim may dispatch the call. */
   readonly attempt: string;
 }
 
-/** The answer of an upstream, kept for repeats. */
+/** Answer of an upstream, recorded for repeated calls. */
 export interface RecordedOutcome {
   readonly status: number;
   readonly contentType: string;
   readonly body: string;
 }
 
-/** Ends a claim. `outcome` is null where nobody can know whether the call ran. */
+/** Records the result of a claim. `outcome` is null if it cannot be known whether the call ran. */
 export interface SettleClaimCommand {
   readonly type: 'settleClaim';
   readonly account: string;
@@ -55,75 +55,75 @@
   readonly order: OrderBody;
 }
 
-/** What an upstream is told to do. */
+/** Action that an upstream is ordered to perform. */
 export interface OrderBody {
   readonly action: 'loadModel' | 'loadAdapter' | 'changeRole';
   readonly target: string;
 }
 
-/** Marks an order as carried out or given up. */
+/** Marks an order as done or failed. */
 export interface SettleOrderCommand {
   readonly type: 'settleOrder';
   readonly orderId: string;
   readonly result: 'done' | 'failed';
 }
 
-/** Replaces the whole traffic configuration, if its version is higher than the one that is held. */
+/** Replaces the traffic configuration if its version is higher than the current one. */
 export interface ReplaceTrafficCommand {
   readonly type: 'replaceTraffic';
   readonly version: number;
-  /** As the operator sent it. */
+  /** Text as received from the operator. */
   readonly text: string;
 }
 
-/** Answer to a replacement; `version` is the one that is held afterwards. */
+/** Answer to `ReplaceTrafficCommand`; `version` is the resulting version. */
 export interface ReplaceTrafficAnswer {
   readonly version: number;
 }
 
-/** Keeps a content from every upstream, also after all processes have ended. */
+/** Quarantines a content: it is sent to no upstream, also after a restart of all processes. */
 export interface QuarantineCommand {
   readonly type: 'quarantine';
   /** Digest of the content. */
   readonly content: string;
 }
 
-/** Lets a content go again. */
+/** Lifts the quarantine of a content. */
 export interface ReleaseCommand {
   readonly type: 'release';
   readonly content: string;
 }
 
-/** Keeps new work from every upstream of a data centre until it is restored. */
+/** Stops new requests to all upstreams of a data centre until it is restored. */
 export interface EvacuateCommand {
   readonly type: 'evacuate';
   readonly dataCentre: string;
 }
 
-/** Gives the upstreams of a data centre work again. */
+/** Ends the evacuation of a data centre. */
 export interface RestoreCommand {
   readonly type: 'restore';
   readonly dataCentre: string;
 }
 
-/** An operator's order on one data centre. */
+/** A command that evacuates or restores a data centre. */
 export type DataCentreCommand = EvacuateCommand | RestoreCommand;
 
-/** A data centre whose upstreams get nothing new. */
+/** A data centre whose upstreams receive no new requests. */
 export interface EvacuatedDataCentre {
   readonly dataCentre: string;
-  /** Wall-clock milliseconds of the leader that took the order. */
+  /** Wall-clock time at which the leader accepted the command, in milliseconds. */
   readonly since: number;
 }
 
-/** All evacuated data centres, as one value that entries replace whole. */
+/** All evacuated data centres; entries receive the complete list after each change. */
 export interface Evacuations {
-  /** Index in the log of the newest change; 0 before the first. A higher one is newer, on any replica. */
+  /** Log index of the latest change; 0 before the first. A higher revision is newer, on any replica. */
   readonly revision: number;
   readonly dataCentres: readonly EvacuatedDataCentre[];
 }
 
-/** Every command. */
+/** Any command. */
 export type Command =
   | DataCentreCommand
   | QuarantineCommand
@@ -135,7 +135,7 @@
   | OrderCommand
   | SettleOrderCommand;
 
-/** Answer to a change of configuration. */
+/** Answer to a configuration change. */
 export type ConfigureAnswer =
   | { readonly accepted: true; readonly version: number }
   | { readonly accepted: false; readonly failure: failures.Failure };
@@ -149,7 +149,7 @@
   | { readonly state: 'keyReused' }
   | { readonly state: 'full'; readonly retryAfter: number };
 
-/** One claim. */
+/** A claim and its state. */
 export interface Claim {
   readonly account: string;
   readonly key: string;
@@ -161,7 +161,7 @@
   readonly outcome: RecordedOutcome | null;
 }
 
-/** One order with its fencing number. */
+/** An order with its fencing number and state. */
 export interface Order {
   readonly orderId: string;
   readonly upstream: string;
@@ -171,18 +171,18 @@
   readonly state: 'open' | 'done' | 'failed';
 }
 
-/** Bounds of what is remembered. Times in milliseconds. */
+/** Limits of the retained state. Times are in milliseconds. */
 export interface AgreedStateLimits {
   /** How long the answer to a change id is kept. */
   readonly changeIdLife: number;
-  /** How long a claim is kept after it was made. */
+  /** How long a claim is kept after its creation. */
   readonly claimLife: number;
-  /** Claims kept at most for one client account. */
+  /** Maximum number of claims per client account. */
   readonly claimsPerAccount: number;
-  /** Deleted objects remembered for partial pulls. */
+  /** Maximum number of deleted objects kept for incremental pulls. */
   readonly tombstones: number;
-  /** Finished orders remembered. */
+  /** Maximum number of finished orders kept. */
   readonly finishedOrders: number;
-  /** Contents kept from upstreams at once; beyond them the oldest is let go. */
+  /** Maximum number of quarantined contents; a further one evicts the oldest. */
   readonly quarantined: number;
 }
--- a/packages/kumquatfront/src/consensus/applier.ts
+++ b/packages/kumquatfront/src/consensus/applier.ts
@@ -1,6 +1,6 @@
 /**
- * Applies committed entries to the state machine, answers the proposals that they came from, and takes
- * snapshots when the log has grown.
+ * Applies committed entries to the state machine, completes the proposals that they came from, and takes snapshots
+ * when the log has grown.
  */
 import * as failures from '../kernel/failures.js';
 import * as results from '../kernel/results.js';
@@ -9,15 +9,15 @@
 
 interface PendingProposal {
   readonly term: number;
-  readonly done: replicaOptions.ProposalDone;
+  readonly done: replicaOptions.ProposalCallback;
 }
 
-/** The applier of one replica. */
+/** Applies the committed log of one replica. */
 export class Applier {
   commitIndex: number;
   appliedIndex: number;
   private readonly options: replicaOptions.ReplicaOptions;
-  private readonly pending = new Map<number, PendingProposal>();
+  private readonly pendingProposals = new Map<number, PendingProposal>();
 
   constructor(options: replicaOptions.ReplicaOptions) {
     const { store, machine } = options;
@@ -29,13 +29,13 @@
     }
   }
 
-  /** Remembers whom to tell once the entry at an index is applied. */
-  expect(index: number, done: replicaOptions.ProposalDone): void {
-    this.pending.set(index, { term: this.options.store.hardState.term, done });
+  /** Registers a callback for the proposal at an index, called once its entry is applied. */
+  registerProposal(index: number, done: replicaOptions.ProposalCallback): void {
+    this.pendingProposals.set(index, { term: this.options.store.hardState.term, done });
   }
 
-  /** Takes over a leader's snapshot. */
-  restore(snapshot: types.Snapshot): void {
+  /** Replaces the state by a snapshot of the leader. */
+  restoreSnapshot(snapshot: types.Snapshot): void {
     this.options.machine.restore(snapshot.state);
     this.commitIndex = snapshot.index;
     this.appliedIndex = snapshot.index;
@@ -61,8 +61,8 @@
     }
     const { payload, index, stamp } = entry;
     const value = payload.type === 'command' ? machine.apply(payload.command, index, stamp) : null;
-    const proposal = this.pending.get(index);
-    this.pending.delete(index);
+    const proposal = this.pendingProposals.get(index);
+    this.pendingProposals.delete(index);
     if (proposal?.term === entry.term) {
       proposal.done(results.Ok(value));
     }
@@ -79,14 +79,14 @@
     log.info('snapshotTaken', { index });
   }
 
-  /** Tells every open proposal that its outcome is not known: another leader may commit it or not. */
-  failPending(): void {
+  /** Fails all pending proposals as undecided: the next leader may or may not commit them. */
+  failPendingProposals(): void {
     const remedy =
-      'Resend it with the same change id: it is applied once, and the first answer is given again.';
+      'Resend it with the same change id: it is applied at most once, and the first answer is returned.';
     const failure = failures.create('timeout', 'The leader changed before the outcome was known.', remedy);
-    const open = [...this.pending.values()];
-    this.pending.clear();
-    for (const proposal of open) {
+    const proposals = [...this.pendingProposals.values()];
+    this.pendingProposals.clear();
+    for (const proposal of proposals) {
       proposal.done(results.Err(failure));
     }
   }
--- a/packages/kumquatfront/src/consensus/election.ts
+++ b/packages/kumquatfront/src/consensus/election.ts
@@ -1,5 +1,5 @@
 /**
- * Elections of one replica: when it asks for votes, whom it gives its own, and when it has won.
+ * Leader election of one replica: starts elections, grants votes and counts the votes received.
  */
 import type * as ports from '../kernel/ports.js';
 import type * as leadership from './leadership.js';
@@ -7,82 +7,80 @@
 import type * as types from './types.js';
 
 /**
- * A replica that has just started asks this often whether all voters are without a leader.
+ * Interval at which a restarted voter probes the other voters for a leader.
  *
- * Pattern: everything is killed at once, and callers are back before control is. A voter that has restarted does not
- * know what it promised a leader and refuses its vote for one election timeout, so that all of them wait for nobody:
- * half a second in which no entry has a configuration. Where every voter says that it knows no leader there is none
- * with a lease: it would be one of them. Then the votes of this one term are free at once, and the voter with the
- * longest log asks for them (see `isFirstAmong`).
+ * A restarted voter refuses votes for one election timeout, because a leader's lease may rely on it. If the whole
+ * cluster restarts, this would only delay the election. Once all voters have reported that they know no leader, no
+ * lease can be valid, and the voter chosen by `isPreferredCandidate` starts an election at once.
  */
-const ASKED_AFTER_START: ports.Milliseconds = 60;
+const PROBE_INTERVAL: ports.Milliseconds = 60;
 
-/** Election timeouts for which it asks: VMs that lost power come back over a second, not all at once. */
-const ASKED_FOR_TIMEOUTS = 3;
+/** Duration of the probes in election timeouts: VMs that lost power restart at different times. */
+const PROBE_ELECTION_TIMEOUTS = 3;
 
-/** The end of a voter's log. */
-interface LogEnd {
+/** Position of the last entry of a log. */
+interface LogPosition {
   readonly lastIndex: number;
   readonly lastTerm: number;
 }
 
-interface VoterLog extends LogEnd {
+interface VoterLogPosition extends LogPosition {
   readonly identity: string;
 }
 
-/** A voter that knows no leader, with its term when it said so, and whether it has just started too. */
-interface LeaderlessVoter extends VoterLog {
+/** A voter that reported no leader, with its term at that time and whether it is probing as well. */
+interface LeaderlessVoter extends VoterLogPosition {
   readonly term: number;
-  readonly asks: boolean;
+  readonly isProbing: boolean;
 }
 
-/** True where the first log holds all that the second one does, as votes are given by. */
-function isUpToDate(log: LogEnd, than: LogEnd): boolean {
-  return log.lastTerm > than.lastTerm || (log.lastTerm === than.lastTerm && log.lastIndex >= than.lastIndex);
+/** True if `log` is at least as up to date as `base`, which is a condition for granting a vote. */
+function isUpToDate(log: LogPosition, base: LogPosition): boolean {
+  return log.lastTerm > base.lastTerm || (log.lastTerm === base.lastTerm && log.lastIndex >= base.lastIndex);
 }
 
 /**
- * True for the one voter that asks for votes, of those that have just started: the longest log, then the lowest
- * identity.
+ * True for the voter that starts the election among those that are probing: the one with the longest log, then the
+ * lowest identity.
  *
- * Several voters have everybody's answer at nearly the same time. If each asked for votes, none would get most of
- * them, or a second one would depose the first as soon as it stood. All of them name the same voter from the same
- * answers, and the others follow; if it fails to ask, their election timers run as ever.
+ * Several voters learn at nearly the same time that there is no leader. If each started an election, the votes would
+ * be split, or a second election would depose the first leader. All of them select the same voter; if it fails, their
+ * election timers are still running.
  */
-function isFirstAmong(own: VoterLog, others: readonly VoterLog[]): boolean {
+function isPreferredCandidate(own: VoterLogPosition, others: readonly VoterLogPosition[]): boolean {
   return others.every(
     (other) => isUpToDate(own, other) && (!isUpToDate(other, own) || own.identity < other.identity),
   );
 }
 
-/** What an election asks of its replica. */
+/** Operations that the election needs from its replica. */
 export interface ElectionHost {
   readonly role: () => types.ReplicaRole;
-  /** True where this replica hears from a leader, or is one with its lease. */
-  readonly leaderAlive: () => boolean;
-  /** The same without the election timeout after a start, in which this replica cannot know what it promised. */
-  readonly leaderHeard: () => boolean;
-  readonly knowsLeader: () => boolean;
-  /** The replica follows nobody until the election is decided. */
-  readonly forgetLeader: () => void;
+  /** True if this replica is a leader that holds its lease, or if another leader's lease may rely on it. */
+  readonly isLeaderAlive: () => boolean;
+  /** True if this replica leads, or has had leader contact since its start and within the election timeout. */
+  readonly hasLeaderContact: () => boolean;
+  readonly isLeaderKnown: () => boolean;
+  /** Makes the replica a follower without a known leader. */
+  readonly clearLeader: () => void;
   readonly becomeCandidate: () => void;
-  readonly won: () => void;
+  readonly becomeLeader: () => void;
   readonly raiseTerm: (term: number) => void;
-  readonly post: (member: types.Member, body: leadership.MessageBody) => void;
-  readonly answer: (identity: string, body: leadership.MessageBody) => void;
+  readonly send: (member: types.Member, body: leadership.MessageBody) => void;
+  readonly reply: (identity: string, body: leadership.MessageBody) => void;
 }
 
-/** Elections; see the module comment. */
+/** Election state and timer of one replica. */
 export class Election {
   private readonly options: replicaOptions.ReplicaOptions;
   private readonly host: ElectionHost;
   private votes = new Set<string>();
-  /** The other voters that know no leader, by their last answers since this replica started. */
-  private leaderless = new Map<string, LeaderlessVoter>();
-  private asksAfterStart = false;
-  /** The term for which all voters have said so. */
+  /** Other voters whose latest answer since the start of this replica reported no leader, by identity. */
+  private leaderlessVoters = new Map<string, LeaderlessVoter>();
+  private isProbing = false;
+  /** Term of the election that was started because no voter knew a leader. */
   private unopposedTerm: number | undefined;
-  /** When this replica gave its vote last, its own candidacy included. */
+  /** When this replica last gave its vote, including to itself. */
   private votedAt = Number.NEGATIVE_INFINITY;
   private cancelTimer: ports.Cancel = () => undefined;
 
@@ -104,22 +102,22 @@
     });
   }
 
-  /** Called once, at the start of a replica that was a voter before. */
-  askAfterStart(): void {
+  /** Starts to probe the other voters for a leader; called once, when a replica restarts. */
+  startProbing(): void {
     const { timers, random, timing } = this.options;
-    const until = timers.now() + timing.electionTimeout * ASKED_FOR_TIMEOUTS;
-    this.asksAfterStart = true;
-    const ask = (): void => {
-      if (timers.now() >= until || this.host.knowsLeader()) {
-        this.asksAfterStart = false;
+    const deadline = timers.now() + timing.electionTimeout * PROBE_ELECTION_TIMEOUTS;
+    this.isProbing = true;
+    const probe = (): void => {
+      if (timers.now() >= deadline || this.host.isLeaderKnown()) {
+        this.isProbing = false;
         return;
       }
       if (this.isVoter() && this.host.role() === 'follower') {
-        this.askForLeaders();
+        this.sendProbes();
       }
-      timers.after(ASKED_AFTER_START * (1 + random.next()), ask);
+      timers.after(PROBE_INTERVAL * (1 + random.next()), probe);
     };
-    timers.after(ASKED_AFTER_START * random.next() * 0.5, ask);
+    timers.after(PROBE_INTERVAL * random.next() * 0.5, probe);
   }
 
   private isVoter(): boolean {
@@ -137,9 +135,9 @@
     if (this.host.role() === 'leader' || !this.isVoter()) {
       return;
     }
-    // A replica that was cut off asks first, without raising its term: on its return the others, who hear
-    // from their leader, say no, and the leader is not deposed.
-    this.host.forgetLeader();
+    // Pre-vote: a partitioned replica asks without raising its term. When it reconnects, voters in contact with a
+    // leader refuse, and the leader is not deposed.
+    this.host.clearLeader();
     this.requestVotes(true);
   }
 
@@ -160,16 +158,16 @@
   private requestVotes(preVote: boolean, afterRestart = false): void {
     const { store } = this.options;
     this.votes = new Set([store.identity]);
-    this.postRequests(preVote, afterRestart);
+    this.sendVoteRequests(preVote, afterRestart);
     this.countVotes(preVote);
   }
 
-  private askForLeaders(): void {
-    this.postRequests(true, true);
-    this.countLeaderless();
+  private sendProbes(): void {
+    this.sendVoteRequests(true, true);
+    this.startElectionIfLeaderless();
   }
 
-  private postRequests(preVote: boolean, afterRestart: boolean): void {
+  private sendVoteRequests(preVote: boolean, afterRestart: boolean): void {
     const { store } = this.options;
     const { lastIndex, lastTerm } = store;
     const term = preVote ? store.hardState.term + 1 : store.hardState.term;
@@ -184,21 +182,23 @@
         afterRestart,
         answerTo,
       } as const;
-      this.host.post(member, request);
+      this.host.send(member, request);
     }
   }
 
-  private countLeaderless(): void {
+  private startElectionIfLeaderless(): void {
     const { store } = this.options;
     const { term } = store.hardState;
     const others = this.otherVoters();
-    // An answer from an earlier term says nothing: its voter may have been elected since, in this one.
-    const voters = [...this.leaderless.values()].filter((voter) => voter.term === term);
-    const all = others.every((member) => voters.some((voter) => voter.identity === member.identity));
-    const asking = voters.filter((voter) => voter.asks);
+    // Answers from earlier terms are ignored: their sender may have been elected since.
+    const voters = [...this.leaderlessVoters.values()].filter((voter) => voter.term === term);
+    const allLeaderless = others.every((member) =>
+      voters.some((voter) => voter.identity === member.identity),
+    );
+    const probing = voters.filter((voter) => voter.isProbing);
     const { identity, lastIndex, lastTerm } = store;
-    const first = isFirstAmong({ identity, lastIndex, lastTerm }, asking);
-    if (all && first && this.host.role() === 'follower' && !this.host.leaderHeard()) {
+    const isPreferred = isPreferredCandidate({ identity, lastIndex, lastTerm }, probing);
+    if (allLeaderless && isPreferred && this.host.role() === 'follower' && !this.host.hasLeaderContact()) {
       this.options.log.info('allVotersLeaderless', { voters: others.length + 1 });
       this.unopposedTerm = term + 1;
       this.startElection();
@@ -212,49 +212,48 @@
     if (preVote) {
       this.startElection();
     } else {
-      this.host.won();
+      this.host.becomeLeader();
     }
   }
 
-  private noteLeaderless(answer: types.VoteAnswer): void {
+  private recordLeaderlessAnswer(answer: types.VoteAnswer): void {
     const { from: identity, lastIndex, lastTerm, term, asks } = answer;
     if (!answer.leaderless) {
-      this.leaderless.delete(identity);
-    } else if (this.host.role() === 'follower' && this.asksAfterStart) {
-      this.leaderless.set(identity, { identity, lastIndex, lastTerm, term, asks });
-      this.countLeaderless();
+      this.leaderlessVoters.delete(identity);
+    } else if (this.host.role() === 'follower' && this.isProbing) {
+      this.leaderlessVoters.set(identity, { identity, lastIndex, lastTerm, term, isProbing: asks });
+      this.startElectionIfLeaderless();
     }
   }
 
-  onRequest(message: types.VoteRequest): void {
+  onVoteRequest(message: types.VoteRequest): void {
     const { store } = this.options;
     const upToDate = isUpToDate(message, store);
-    // Whoever hears from a leader, or is one with its lease, refuses without looking at the term: this is
-    // what makes the leader's lease worth trusting.
+    // A voter in contact with a leader, or a leader that holds its lease, refuses whatever the term of the request.
+    // The leader lease relies on this.
     const unopposed = message.afterRestart && !message.preVote;
-    const leaderAlive = unopposed ? this.host.leaderHeard() : this.host.leaderAlive();
-    if (!leaderAlive && !message.preVote && message.term > store.hardState.term) {
+    const isLeaderAlive = unopposed ? this.host.hasLeaderContact() : this.host.isLeaderAlive();
+    if (!isLeaderAlive && !message.preVote && message.term > store.hardState.term) {
       this.host.raiseTerm(message.term);
     }
-    const free = store.hardState.votedFor === '' || store.hardState.votedFor === message.from;
-    // What a voter asks after its start is only a question: counted as pre-votes, the answers would make several
-    // voters candidates at the same moment.
+    const isVoteAvailable = store.hardState.votedFor === '' || store.hardState.votedFor === message.from;
+    // A probe is never granted as a pre-vote: several voters would become candidates at the same time.
     const granted = message.preVote
       ? !message.afterRestart &&
-        !leaderAlive &&
-        !this.mayHaveElected(message.from) &&
+        !isLeaderAlive &&
+        !this.hasRecentVoteForOther(message.from) &&
         upToDate &&
         message.term > store.hardState.term
-      : !leaderAlive && upToDate && message.term === store.hardState.term && free;
+      : !isLeaderAlive && upToDate && message.term === store.hardState.term && isVoteAvailable;
     if (granted && !message.preVote) {
       store.setHardState({ ...store.hardState, votedFor: message.from });
       this.votedAt = this.options.timers.now();
       this.restartTimer();
     }
     const term = granted ? message.term : store.hardState.term;
-    const leaderless = !this.host.leaderHeard() && !this.mayHaveElected(message.from);
+    const leaderless = !this.host.hasLeaderContact() && !this.hasRecentVoteForOther(message.from);
     const { preVote } = message;
-    const { asksAfterStart: asks } = this;
+    const { isProbing: asks } = this;
     const { lastIndex, lastTerm } = store;
     store.whenDurable(() => {
       const body = {
@@ -267,32 +266,31 @@
         lastIndex,
         lastTerm,
       } as const;
-      this.host.answer(message.from, body);
+      this.host.reply(message.from, body);
     });
   }
 
   /**
-   * True where this replica has given its vote to another candidate, itself included, that may have been elected with
-   * it and not been heard from yet.
+   * True if this replica has recently voted for another candidate or for itself, which may have been elected without
+   * having made contact yet.
    *
-   * Pattern: processes that start answer late, so that votes are counted for longer than an election timer runs. A
-   * second candidate would raise the term, and the leader just elected would step down: a second without one. The
-   * voters of the first one say no to it for one election timeout, after which that leader would have been heard.
+   * Votes of slow processes can take longer to count than an election timeout. A second candidate would then raise the
+   * term and depose the new leader, so this replica refuses pre-votes for one election timeout after its vote.
    */
-  private mayHaveElected(asker: string): boolean {
+  private hasRecentVoteForOther(candidate: string): boolean {
     const { store, timers, timing } = this.options;
     const { votedFor } = store.hardState;
-    return votedFor !== '' && votedFor !== asker && timers.now() - this.votedAt < timing.electionTimeout;
+    return votedFor !== '' && votedFor !== candidate && timers.now() - this.votedAt < timing.electionTimeout;
   }
 
-  onAnswer(message: types.VoteAnswer): void {
+  onVoteAnswer(message: types.VoteAnswer): void {
     if (message.preVote) {
-      this.noteLeaderless(message);
+      this.recordLeaderlessAnswer(message);
     }
     const { term } = this.options.store.hardState;
     const expectedTerm = message.preVote ? term + 1 : term;
-    const asked = this.host.role() === (message.preVote ? 'follower' : 'candidate');
-    if (!message.granted || !asked || message.term !== expectedTerm || this.host.knowsLeader()) {
+    const isAwaitingVotes = this.host.role() === (message.preVote ? 'follower' : 'candidate');
+    if (!message.granted || !isAwaitingVotes || message.term !== expectedTerm || this.host.isLeaderKnown()) {
       return;
     }
     if (this.otherVoters().some((member) => member.identity === message.from)) {
--- a/packages/kumquatfront/src/consensus/replication.ts
+++ b/packages/kumquatfront/src/consensus/followerReplication.ts
@@ -1,27 +1,27 @@
 /**
- * A follower's side of replication: takes a leader's entries and snapshots in, and answers once they are synced.
+ * Follower side of replication: stores the leader's entries and snapshots and answers once they are synced.
  */
 import type * as applier from './applier.js';
 import type * as leadership from './leadership.js';
 import type * as logStore from './logStore.js';
-import * as snapshotTransfer from './snapshotTransfer.js';
+import * as snapshotReceiver from './snapshotReceiver.js';
 import type * as types from './types.js';
 
-/** What replication asks of its replica. */
-export interface ReplicationHost {
-  /** Follows the sender, which leads the current term. */
+/** Operations that the follower needs from its replica. */
+export interface FollowerReplicationHost {
+  /** Records contact with the sender, which is the leader of the current term. */
   readonly followLeader: (identity: string, commitIndex: number) => void;
-  readonly answer: (identity: string, body: leadership.MessageBody) => void;
+  readonly reply: (identity: string, body: leadership.MessageBody) => void;
 }
 
-/** Replication; see the module comment. */
-export class Replication {
+/** Handles the append requests and snapshot pieces of the leader. */
+export class FollowerReplication {
   private readonly store: logStore.LogStore;
   private readonly applier: applier.Applier;
-  private readonly host: ReplicationHost;
-  private readonly receiver = new snapshotTransfer.SnapshotReceiver();
+  private readonly host: FollowerReplicationHost;
+  private readonly receiver = new snapshotReceiver.SnapshotReceiver();
 
-  constructor(store: logStore.LogStore, logApplier: applier.Applier, host: ReplicationHost) {
+  constructor(store: logStore.LogStore, logApplier: applier.Applier, host: FollowerReplicationHost) {
     this.store = store;
     this.applier = logApplier;
     this.host = host;
@@ -30,17 +30,17 @@
   onAppendRequest(message: types.AppendRequest): void {
     const { store } = this;
     if (message.term < store.hardState.term) {
-      this.answerAppend(message, false, 0);
+      this.replyToAppend(message, false, 0);
       return;
     }
     this.host.followLeader(message.from, message.commitIndex);
     const previousTerm = store.termAt(message.previousIndex);
     if (message.previousIndex > store.snapshot.index && previousTerm !== message.previousTerm) {
-      this.answerAppend(message, false, Math.min(store.lastIndex, message.previousIndex - 1));
+      this.replyToAppend(message, false, Math.min(store.lastIndex, message.previousIndex - 1));
       return;
     }
     if (message.previousIndex < store.snapshot.index && message.entries.length === 0) {
-      this.answerAppend(message, true, store.snapshot.index);
+      this.replyToAppend(message, true, store.snapshot.index);
       return;
     }
     for (const entry of message.entries) {
@@ -48,7 +48,7 @@
     }
     const matchIndex = message.previousIndex + message.entries.length;
     this.applier.commitTo(Math.min(message.commitIndex, matchIndex));
-    this.answerAppend(message, true, matchIndex);
+    this.replyToAppend(message, true, matchIndex);
   }
 
   private storeEntry(entry: types.LogEntry): void {
@@ -62,12 +62,12 @@
     store.append(entry);
   }
 
-  private answerAppend(message: types.AppendRequest, success: boolean, matchIndex: number): void {
+  private replyToAppend(message: types.AppendRequest, success: boolean, matchIndex: number): void {
     const { store } = this;
     const { term } = store.hardState;
     const { sentAt, round } = message;
     store.whenDurable(() => {
-      this.host.answer(message.from, { type: 'appendAnswer', term, success, matchIndex, sentAt, round });
+      this.host.reply(message.from, { type: 'appendAnswer', term, success, matchIndex, sentAt, round });
     });
   }
 
@@ -78,23 +78,23 @@
     }
     this.host.followLeader(message.from, message.index);
     if (message.index <= this.applier.appliedIndex) {
-      this.answerPiece(message, message.total, true);
+      this.replyToPiece(message, message.total, true);
       return;
     }
     const snapshot = this.receiver.receive(message);
     if (snapshot === undefined) {
-      this.answerPiece(message, this.receiver.received, false);
+      this.replyToPiece(message, this.receiver.receivedLength, false);
       return;
     }
-    this.applier.restore(snapshot);
-    store.install(snapshot, () => {
-      this.answerPiece(message, message.total, true);
+    this.applier.restoreSnapshot(snapshot);
+    store.installSnapshot(snapshot, () => {
+      this.replyToPiece(message, message.total, true);
     });
   }
 
-  private answerPiece(message: types.SnapshotPiece, received: number, installed: boolean): void {
+  private replyToPiece(message: types.SnapshotPiece, received: number, installed: boolean): void {
     const { term, index, sentAt, round } = message;
-    this.host.answer(message.from, {
+    this.host.reply(message.from, {
       type: 'snapshotAnswer',
       term,
       index,
--- a/packages/kumquatfront/src/consensus/leadership.ts
+++ b/packages/kumquatfront/src/consensus/leadership.ts
@@ -1,6 +1,6 @@
 /**
- * The leader's side of replication: what each member holds, what it is sent next, when an entry counts as
- * committed, and how long the leader may trust its lease.
+ * Leader side of replication: tracks the progress of each member, sends entries and snapshots, advances the commit
+ * index and maintains the leader lease.
  */
 import type * as ports from '../kernel/ports.js';
 import type * as replicaOptions from './replicaOptions.js';
@@ -10,39 +10,40 @@
   ? Omit<Message, 'clusterIdentity' | 'from' | 'to'>
   : never;
 
-/** A message before the sender adds who it is from and for. */
+/** A message without cluster, sender and receiver, which are added when it is sent. */
 export type MessageBody = WithoutAddress<types.ConsensusMessage>;
 
-/** What the leader knows of one member. */
+/** Replication progress of one member, as known to the leader. */
 export interface Progress {
   readonly member: types.Member;
   nextIndex: number;
   matchIndex: number;
-  /** Leader's time at which the newest answered message was sent. */
+  /** Send time of the newest acknowledged message, on the leader's clock. */
   acknowledgedAt: number;
-  /** Time at which a message went out that is not answered yet; undefined where none is open. */
-  openSince: number | undefined;
+  /** Send time of the message that is not acknowledged yet; undefined if there is none. */
+  inFlightSince: number | undefined;
   snapshotReceived: number;
-  /** Number of the newest round of messages that it answered. */
-  answeredRound: number;
+  /** Sequence number of the newest acknowledged message. */
+  acknowledgedRound: number;
 }
 
-interface Confirmation {
-  readonly after: number;
-  readonly done: (leads: boolean) => void;
+/** A read that waits until a quorum has acknowledged a message sent after it. */
+interface ReadConfirmation {
+  readonly afterRound: number;
+  readonly done: (isLeader: boolean) => void;
 }
 
-/** What the leadership asks of its replica. */
+/** Operations that the leadership needs from its replica. */
 export interface LeadershipHost {
   readonly commitIndex: () => number;
   readonly commit: (index: number) => void;
-  readonly lostQuorum: () => void;
-  readonly post: (member: types.Member, body: MessageBody) => void;
+  readonly stepDown: () => void;
+  readonly send: (member: types.Member, body: MessageBody) => void;
 }
 
-const RESEND_HEARTBEATS = 2;
+const RESEND_AFTER_HEARTBEATS = 2;
 
-/** One term of leading; dropped when the replica steps down. */
+/** State of a leader during one term; discarded when the replica steps down. */
 export class Leadership {
   private readonly options: replicaOptions.ReplicaOptions;
   private readonly host: LeadershipHost;
@@ -52,10 +53,10 @@
   private durableIndex = 0;
   private sendScheduled = false;
   private stopped = false;
-  /** Messages sent so far, each with a number of its own. */
-  private rounds = 0;
-  private confirmations: Confirmation[] = [];
-  private snapshotText: { index: number; text: string } | undefined;
+  /** Last sequence number used; each message and each read confirmation takes one. */
+  private lastRound = 0;
+  private readConfirmations: ReadConfirmation[] = [];
+  private serializedSnapshot: { index: number; text: string } | undefined;
   private cancelHeartbeat: ports.Cancel = () => undefined;
 
   constructor(options: replicaOptions.ReplicaOptions, host: LeadershipHost) {
@@ -69,38 +70,38 @@
     this.cancelHeartbeat = this.options.timers.every(
       () => this.options.timing.heartbeat,
       () => {
-        this.beat();
+        this.tick();
       },
     );
     this.onAppended();
   }
 
-  /** Time for which this leadership has lasted. */
-  age(): ports.Milliseconds {
+  /** Time since the start of this leadership. */
+  duration(): ports.Milliseconds {
     return this.options.timers.now() - this.startedAt;
   }
 
   stop(): void {
     this.stopped = true;
     this.cancelHeartbeat();
-    const open = this.confirmations;
-    this.confirmations = [];
-    for (const entry of open) {
+    const pending = this.readConfirmations;
+    this.readConfirmations = [];
+    for (const entry of pending) {
       entry.done(false);
     }
   }
 
-  /** True once an entry of this term is committed, so that everything before it is known to be. */
-  hasCommitted(): boolean {
+  /** True once an entry of this term is committed, and with it all entries before. */
+  hasCommittedInTerm(): boolean {
     return this.host.commitIndex() >= this.startIndex;
   }
 
   /**
-   * True while a quorum is known to have followed this leader recently enough.
+   * True while the leader lease is valid.
    *
-   * Voters refuse other candidates for a whole election timeout after each message of the leader. The lease
-   * counts from the sending of an answered message and ends a share of that timeout earlier, so it is over
-   * before any successor can be elected, whatever the network did in between.
+   * Voters refuse other candidates for one election timeout after each message of the leader. The lease starts when
+   * a message acknowledged by a quorum was sent and lasts for a fraction of that timeout, so it expires before a
+   * successor can be elected, whatever the network delays.
    */
   hasLease(): boolean {
     const { timing, timers } = this.options;
@@ -108,24 +109,23 @@
   }
 
   /**
-   * Calls back with true once a quorum has answered a message that was sent after this call, so that no
-   * successor can have been elected before it; with false where this leader steps down first.
+   * Calls back with true once a quorum has acknowledged a message sent after this call, which proves that no
+   * successor was elected before the call; with false if this leader steps down first.
    *
-   * Why not the lease: a suspended VM's steady clock stands still, so its lease outlives the election of a
-   * successor, and a read under it would show a state that others have replaced. Answers to messages sent
-   * after the question depend on no clock.
+   * The lease does not suffice: the monotonic clock of a suspended VM stops, so its lease can outlive the election of
+   * a successor and a read would return stale state.
    */
-  confirm(done: (leads: boolean) => void): void {
-    this.confirmations.push({ after: this.rounds, done });
-    this.rounds += 1;
-    this.sendSoon();
+  confirmLeadership(done: (isLeader: boolean) => void): void {
+    this.readConfirmations.push({ afterRound: this.lastRound, done });
+    this.lastRound += 1;
+    this.scheduleSend();
   }
 
-  private checkConfirmations(): void {
-    const answered = this.quorumValue(this.rounds, (peer) => peer.answeredRound);
-    const settled = this.confirmations.filter((entry) => answered > entry.after);
-    this.confirmations = this.confirmations.filter((entry) => answered <= entry.after);
-    for (const entry of settled) {
+  private completeConfirmations(): void {
+    const acknowledgedRound = this.quorumValue(this.lastRound, (peer) => peer.acknowledgedRound);
+    const confirmed = this.readConfirmations.filter((entry) => acknowledgedRound > entry.afterRound);
+    this.readConfirmations = this.readConfirmations.filter((entry) => acknowledgedRound <= entry.afterRound);
+    for (const entry of confirmed) {
       entry.done(true);
     }
   }
@@ -134,26 +134,26 @@
     return this.progress.get(identity);
   }
 
-  /** Called after the leader's log grew: makes it durable and sends it on. */
+  /** Called after entries were appended to the leader's log: syncs and replicates them. */
   onAppended(): void {
     const { store } = this.options;
     const { lastIndex } = store;
     store.whenDurable(() => {
       this.durableIndex = Math.max(this.durableIndex, lastIndex);
-      this.advanceCommit();
+      this.advanceCommitIndex();
     });
-    this.sendSoon();
+    this.scheduleSend();
   }
 
-  private sendSoon(): void {
+  private scheduleSend(): void {
     if (this.sendScheduled) {
       return;
     }
     this.sendScheduled = true;
     this.options.timers.after(0, () => {
       this.sendScheduled = false;
-      this.sendToAll(this.confirmations.length > 0);
-      this.checkConfirmations();
+      this.sendToAll(this.readConfirmations.length > 0);
+      this.completeConfirmations();
     });
   }
 
@@ -163,15 +163,15 @@
       return;
     }
     peer.acknowledgedAt = Math.max(peer.acknowledgedAt, message.sentAt);
-    peer.answeredRound = Math.max(peer.answeredRound, message.round);
-    this.checkConfirmations();
-    peer.openSince = undefined;
+    peer.acknowledgedRound = Math.max(peer.acknowledgedRound, message.round);
+    this.completeConfirmations();
+    peer.inFlightSince = undefined;
     if (message.type === 'snapshotAnswer') {
       this.onSnapshotAnswer(peer, message);
     } else if (message.success) {
       peer.matchIndex = Math.max(peer.matchIndex, message.matchIndex);
       peer.nextIndex = peer.matchIndex + 1;
-      this.advanceCommit();
+      this.advanceCommitIndex();
     } else {
       peer.nextIndex = Math.max(1, Math.min(peer.nextIndex - 1, message.matchIndex + 1));
     }
@@ -189,11 +189,11 @@
     }
   }
 
-  private beat(): void {
+  private tick(): void {
     const { timing, timers } = this.options;
-    // Check-quorum: a leader that is cut off stops leading by itself, so that its clients go elsewhere.
+    // Check-quorum: a leader without contact to a quorum steps down, so that clients turn to other replicas.
     if (timers.now() - this.quorumAcknowledgedAt() > timing.electionTimeout) {
-      this.host.lostQuorum();
+      this.host.stepDown();
       return;
     }
     this.sendToAll(true);
@@ -203,17 +203,17 @@
     const { store } = this.options;
     const members = store.members();
     for (const member of members) {
-      const known = this.progress.get(member.identity);
+      const previous = this.progress.get(member.identity);
       if (member.identity === store.identity) {
         continue;
       }
       this.progress.set(member.identity, {
-        nextIndex: known?.nextIndex ?? store.lastIndex + 1,
-        matchIndex: known?.matchIndex ?? 0,
-        acknowledgedAt: known?.acknowledgedAt ?? Number.NEGATIVE_INFINITY,
-        openSince: known?.openSince,
-        snapshotReceived: known?.snapshotReceived ?? 0,
-        answeredRound: known?.answeredRound ?? 0,
+        nextIndex: previous?.nextIndex ?? store.lastIndex + 1,
+        matchIndex: previous?.matchIndex ?? 0,
+        acknowledgedAt: previous?.acknowledgedAt ?? Number.NEGATIVE_INFINITY,
+        inFlightSince: previous?.inFlightSince,
+        snapshotReceived: previous?.snapshotReceived ?? 0,
+        acknowledgedRound: previous?.acknowledgedRound ?? 0,
         member,
       });
     }
@@ -230,16 +230,16 @@
     }
     this.refreshMembers();
     for (const peer of this.progress.values()) {
-      const open = peer.openSince !== undefined && !this.isOverdue(peer.openSince);
-      if (heartbeat || (!open && peer.nextIndex <= this.options.store.lastIndex)) {
+      const inFlight = peer.inFlightSince !== undefined && !this.isOverdue(peer.inFlightSince);
+      if (heartbeat || (!inFlight && peer.nextIndex <= this.options.store.lastIndex)) {
         this.sendTo(peer);
       }
     }
   }
 
-  private isOverdue(openSince: number): boolean {
+  private isOverdue(sentAt: number): boolean {
     const { timers, timing } = this.options;
-    return timers.now() - openSince > timing.heartbeat * RESEND_HEARTBEATS;
+    return timers.now() - sentAt > timing.heartbeat * RESEND_AFTER_HEARTBEATS;
   }
 
   private sendTo(peer: Progress): void {
@@ -252,16 +252,17 @@
       this.sendSnapshot(peer, now);
       return;
     }
-    // While an earlier message is open only a heartbeat goes out: one window of entries a member at a time
-    // bounds what a slow member can make the leader hold, and gathers entries into batches.
-    const limit = peer.openSince === undefined || this.isOverdue(peer.openSince) ? timing.appendLimit : 0;
+    // While entries are in flight, only heartbeats are sent: one append at a time per member bounds the memory that
+    // a slow member takes, and batches new entries.
+    const limit =
+      peer.inFlightSince === undefined || this.isOverdue(peer.inFlightSince) ? timing.appendLimit : 0;
     const entries = store.slice(peer.nextIndex, limit);
     if (entries.length > 0) {
-      peer.openSince = now;
+      peer.inFlightSince = now;
     }
     const commitIndex = this.host.commitIndex();
-    this.rounds += 1;
-    this.host.post(peer.member, {
+    this.lastRound += 1;
+    this.host.send(peer.member, {
       type: 'appendRequest',
       term,
       previousIndex,
@@ -269,20 +270,20 @@
       entries,
       commitIndex,
       sentAt: now,
-      round: this.rounds,
+      round: this.lastRound,
     });
   }
 
   private sendSnapshot(peer: Progress, now: number): void {
     const { store, timing } = this.options;
-    if (this.snapshotText?.index !== store.snapshot.index) {
-      this.snapshotText = { index: store.snapshot.index, text: JSON.stringify(store.snapshot) };
+    if (this.serializedSnapshot?.index !== store.snapshot.index) {
+      this.serializedSnapshot = { index: store.snapshot.index, text: JSON.stringify(store.snapshot) };
       peer.snapshotReceived = 0;
     }
-    const { text } = this.snapshotText;
-    peer.openSince = now;
-    this.rounds += 1;
-    this.host.post(peer.member, {
+    const { text } = this.serializedSnapshot;
+    peer.inFlightSince = now;
+    this.lastRound += 1;
+    this.host.send(peer.member, {
       type: 'snapshotPiece',
       term: store.hardState.term,
       index: store.snapshot.index,
@@ -291,23 +292,23 @@
       total: text.length,
       data: text.slice(peer.snapshotReceived, peer.snapshotReceived + timing.snapshotPieceLength),
       sentAt: now,
-      round: this.rounds,
+      round: this.lastRound,
     });
   }
 
-  private votersOf(): readonly types.Member[] {
+  private voters(): readonly types.Member[] {
     return this.options.store.members().filter((member) => member.role === 'voter');
   }
 
-  /** The newest value that a quorum of voters has reached. */
-  private quorumValue(own: number, ofPeer: (peer: Progress) => number): number {
+  /** Highest value that a quorum of voters has reached. */
+  private quorumValue(ownValue: number, valueOf: (peer: Progress) => number): number {
     const { store } = this.options;
-    const values = this.votersOf().map((member) => {
+    const values = this.voters().map((member) => {
       const peer = this.progress.get(member.identity);
       if (member.identity === store.identity) {
-        return own;
+        return ownValue;
       }
-      return peer === undefined ? Number.NEGATIVE_INFINITY : ofPeer(peer);
+      return peer === undefined ? Number.NEGATIVE_INFINITY : valueOf(peer);
     });
     values.sort((left, right) => right - left);
     return values[Math.floor(values.length / 2)] ?? Number.NEGATIVE_INFINITY;
@@ -315,15 +316,15 @@
 
   private quorumAcknowledgedAt(): number {
     const acknowledged = this.quorumValue(this.options.timers.now(), (peer) => peer.acknowledgedAt);
-    // Before the first answers the election itself stands for the quorum, but only for the grace of
-    // check-quorum: the lease needs a committed entry of this term as well.
+    // Until the first acknowledgements arrive, the election counts as contact with the quorum. This only delays
+    // check-quorum: to act on the lease, a leader also needs a committed entry of its term.
     return Math.max(acknowledged, this.startedAt);
   }
 
-  private advanceCommit(): void {
+  private advanceCommitIndex(): void {
     const { store } = this.options;
     const index = this.quorumValue(this.durableIndex, (peer) => peer.matchIndex);
-    // Only an entry of the own term commits by counting; older ones commit with it.
+    // Only entries of the current term are committed by counting replicas; earlier ones are committed with them.
     if (index > this.host.commitIndex() && store.termAt(index) === store.hardState.term && !this.stopped) {
       this.host.commit(index);
       this.sendToAll(true);
--- a/packages/kumquatfront/src/consensus/logFile.ts
+++ b/packages/kumquatfront/src/consensus/logFile.ts
@@ -1,6 +1,6 @@
 /**
- * The log file: records of a length, a checksum and JSON text. A torn record at the end is what a crash
- * during a write leaves behind, and is cut off; a bad record followed by a good one is damage.
+ * Format of the log file: records that consist of a length, a checksum and JSON text. A torn record at the end results
+ * from a crash during a write and is discarded; an invalid record followed by a valid one means corruption.
  */
 import * as zlib from 'node:zlib';
 
@@ -28,10 +28,10 @@
   return Buffer.concat([header, body]);
 }
 
-/** Records of a log file, and how many of its bytes are sound. */
-export interface Decoded {
+/** Records of a log file, and the length of its valid part in bytes. */
+export interface DecodedLog {
   readonly records: readonly types.DiskRecord[];
-  readonly soundLength: number;
+  readonly validLength: number;
 }
 
 function readRecord(buffer: Buffer, offset: number): { record: types.DiskRecord; end: number } | undefined {
@@ -50,7 +50,7 @@
   return { record: JSON.parse(body.toString('utf8')) as types.DiskRecord, end };
 }
 
-function soundRecordAfter(buffer: Buffer, offset: number): boolean {
+function hasValidRecordAfter(buffer: Buffer, offset: number): boolean {
   for (let start = offset + 1; start + HEADER_LENGTH < buffer.length; start += 1) {
     if (readRecord(buffer, start) !== undefined) {
       return true;
@@ -60,7 +60,7 @@
 }
 
 function isTorn(buffer: Buffer, offset: number): boolean {
-  // JSON text never holds a zero byte, so a tail that ends in zeros was allocated but never written.
+  // JSON text contains no zero bytes, so a file that ends in zeros was extended but not fully written.
   if (buffer[buffer.length - 1] === 0) {
     return true;
   }
@@ -68,15 +68,15 @@
     return true;
   }
   const end = offset + HEADER_LENGTH + buffer.readUInt32LE(offset);
-  return end > buffer.length && !soundRecordAfter(buffer, offset);
+  return end > buffer.length && !hasValidRecordAfter(buffer, offset);
 }
 
 /**
  * Decodes a log file.
  *
- * A last record that is short or ends in zeros was being written at the crash and was never answered for,
- * so the log ends before it. Any other unreadable record is synced data that has rotted: starting from the
- * part before it would forget votes and entries that others count on, so it is refused.
+ * A last record that is truncated or ends in zeros was being written during a crash and was never acknowledged, so it
+ * is discarded. Any other unreadable record is corrupted data that was synced before: without it, acknowledged votes
+ * and entries would be lost, so the file is rejected.
  *
  * @param bytes - the whole file
  * @returns the records, or a `corrupt` failure
@@ -85,7 +85,7 @@
  * const decoded = logFile.decode(disk.read('log') ?? new Uint8Array());
  * ```
  */
-export function decode(bytes: Uint8Array): results.Result<Decoded, failures.Failure> {
+export function decode(bytes: Uint8Array): results.Result<DecodedLog, failures.Failure> {
   const buffer = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
   const records: types.DiskRecord[] = [];
   let offset = 0;
@@ -107,5 +107,5 @@
       ),
     );
   }
-  return results.Ok({ records, soundLength: offset });
+  return results.Ok({ records, validLength: offset });
 }
--- a/packages/kumquatfront/src/consensus/logStore.spec.ts
+++ b/packages/kumquatfront/src/consensus/logStore.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The data folder at every point at which a crash can come.
+ * State of the data folder after a crash at any point of a sequence of writes.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -14,7 +14,7 @@
   readonly replaces: boolean;
 }
 
-/** A disk that keeps its operations in order, so that a crash can come after any of them. */
+/** A disk that records its operations, so that a crash after any of them can be simulated. */
 class CrashDisk implements ports.Disk {
   readonly operations: Operation[] = [];
   private readonly files = new Map<string, Uint8Array>();
@@ -43,7 +43,7 @@
     this.files.set(file, Buffer.concat([before, bytes]));
   }
 
-  /** The folder as a crash after so many operations leaves it. */
+  /** The folder as a crash after the first `count` operations leaves it. */
   after(count: number): CrashDisk {
     const crashed = new CrashDisk();
     for (const operation of this.operations.slice(0, count)) {
@@ -76,14 +76,13 @@
   return { index, term, stamp: 0, members: [], state: 'state' };
 }
 
-// A follower whose log was overwritten by a newer leader gets that leader's snapshot and crashes somewhere on the
-// way. Whatever is on the disk, no entry of the overwritten past may stand behind the snapshot: the log would say
-// that the old entry followed the new state.
-void test.test('no overwritten entry stands behind an installed snapshot, wherever the crash comes', () => {
+// A follower with overwritten entries installs the new leader's snapshot and crashes on the way. The overwritten
+// entries must not be replayed on top of the snapshot.
+void test.test('no overwritten entry follows an installed snapshot, whenever the crash occurs', () => {
   const disk = new CrashDisk();
   const store = storeWith(disk, 8, 1);
   const before = disk.operations.length;
-  store.install(snapshotAt(5, 3), () => undefined);
+  store.installSnapshot(snapshotAt(5, 3), () => undefined);
   assert.ok(disk.operations.length >= before + 3);
   for (let count = before; count <= disk.operations.length; count += 1) {
     const reopened = open(disk.after(count));
@@ -93,8 +92,8 @@
   }
 });
 
-// The same for a replica that takes its own snapshot: term, vote and every entry are there at each point.
-void test.test('compaction loses nothing, wherever the crash comes', () => {
+// A crash while a replica takes its own snapshot must not lose the term, the vote or an entry.
+void test.test('compaction loses nothing, whenever the crash occurs', () => {
   const disk = new CrashDisk();
   const store = storeWith(disk, 8, 2);
   const before = disk.operations.length;
@@ -107,7 +106,7 @@
   }
 });
 
-void test.test('an overwritten tail stays overwritten after a restart', () => {
+void test.test('overwritten entries stay overwritten after a restart', () => {
   const disk = new CrashDisk();
   const store = storeWith(disk, 4, 1);
   store.truncateFrom(3);
@@ -116,7 +115,7 @@
   assert.deepEqual([reopened.lastIndex, reopened.termAt(2), reopened.termAt(3)], [3, 1, 2]);
 });
 
-void test.test('a folder with a log but no identity is refused', () => {
+void test.test('a folder with a log but no identity is rejected', () => {
   const disk = new CrashDisk();
   disk.append('log', new Uint8Array());
   assert.ok(logStore.LogStore.open(disk, random).err);
--- a/packages/kumquatfront/src/consensus/logStore.ts
+++ b/packages/kumquatfront/src/consensus/logStore.ts
@@ -1,7 +1,6 @@
 /**
- * The replicated log of one replica: in memory for reading, on disk for lasting. Callers learn through
- * `whenDurable` when everything written so far is synced; syncs are grouped, so one sync serves every
- * write that gathered while the former was under way.
+ * Persistent state of one replica, with a copy in memory for reads. `whenDurable` calls back when everything written
+ * so far is synced. Syncs are grouped: one sync serves all writes made during the previous one.
  */
 import * as failures from '../kernel/failures.js';
 import type * as ports from '../kernel/ports.js';
@@ -28,7 +27,7 @@
   private entries: types.LogEntry[] = [];
   private readonly disk: ports.Disk;
   private syncing = false;
-  private waiting: (() => void)[] = [];
+  private pendingCallbacks: (() => void)[] = [];
 
   private constructor(disk: ports.Disk, identity: string) {
     this.disk = disk;
@@ -38,11 +37,11 @@
   /**
    * Opens the data folder.
    *
-   * An empty folder gets a new random identity: a replica whose disk was lost must not vote under its old
-   * name, because the vote or entry it forgot may be what a quorum rests on.
+   * An empty folder gets a new random identity: a replica that lost its disk must not vote under its old identity,
+   * because a quorum may rely on a vote or an entry that it has lost.
    *
    * @param disk - the data folder
-   * @param random - where the identity comes from
+   * @param random - source of the new identity
    * @returns the store, or a `corrupt` failure
    * @example
    * ```ts
@@ -57,7 +56,7 @@
       return results.Err(
         failures.create(
           'corrupt',
-          'The data folder holds a log but no identity.',
+          'The data folder contains a log but no identity.',
           'Empty the data folder and restart: the replica joins again under a new identity.',
         ),
       );
@@ -81,7 +80,7 @@
     for (const record of decoded.val.records) {
       this.replay(record);
     }
-    if (decoded.val.soundLength < bytes.length) {
+    if (decoded.val.validLength < bytes.length) {
       this.rewriteLog();
     }
     return results.Ok(null);
@@ -91,7 +90,7 @@
     if (record.type === 'hardState') {
       this.hardState = record.hardState;
     } else if (record.type === 'truncate') {
-      this.dropFrom(record.fromIndex);
+      this.discardFrom(record.fromIndex);
     } else if (record.entry.index === this.lastIndex + 1) {
       this.entries.push(record.entry);
     }
@@ -109,7 +108,7 @@
     return this.entries.at(-1)?.stamp ?? this.snapshot.stamp;
   }
 
-  /** Term of the entry at an index; undefined where the log does not hold it. */
+  /** Term of the entry at an index; undefined if the entry is not in the log. */
   termAt(index: number): number | undefined {
     if (index === this.snapshot.index) {
       return this.snapshot.term;
@@ -117,24 +116,24 @@
     return this.entryAt(index)?.term;
   }
 
-  /** Entry at an index; undefined where it was compacted or is not there yet. */
+  /** Entry at an index; undefined if it was compacted or does not exist yet. */
   entryAt(index: number): types.LogEntry | undefined {
     const offset = index - this.snapshot.index - 1;
     return offset < 0 ? undefined : this.entries[offset];
   }
 
-  /** Up to `limit` entries from an index on. */
+  /** At most `limit` entries, starting at an index. */
   slice(fromIndex: number, limit: number): readonly types.LogEntry[] {
     const offset = fromIndex - this.snapshot.index - 1;
     return this.entries.slice(offset, offset + limit);
   }
 
-  /** The members that hold now: the newest in the log, committed or not, else those of the snapshot. */
+  /** Current members: those of the newest membership entry, committed or not, else those of the snapshot. */
   members(): readonly types.Member[] {
     return this.membersEntry()?.members ?? this.snapshot.members;
   }
 
-  /** Index of the newest membership entry in the log; 0 where the snapshot's members hold. */
+  /** Index of the newest membership entry in the log; 0 if the members of the snapshot apply. */
   membersIndex(): number {
     return this.membersEntry()?.index ?? 0;
   }
@@ -155,11 +154,11 @@
   }
 
   truncateFrom(index: number): void {
-    this.dropFrom(index);
+    this.discardFrom(index);
     this.disk.append(LOG_FILE, logFile.encode({ type: 'truncate', fromIndex: index }));
   }
 
-  private dropFrom(index: number): void {
+  private discardFrom(index: number): void {
     this.entries.length = Math.max(0, Math.min(this.entries.length, index - this.snapshot.index - 1));
   }
 
@@ -171,45 +170,44 @@
   /**
    * Calls back once everything written before this call is synced.
    *
-   * An answer sent before the sync could be forgotten in a crash: two leaders of one term, or a lost change
-   * that its operator was told is accepted. Sending only from here is enough, because each write of the
-   * log, the term and the vote goes through the same file.
+   * An answer must not be sent before: after a crash its sender could vote twice in a term or lose an acknowledged
+   * change. One sync covers entries, term and vote, which are written to the same file.
    */
   whenDurable(done: () => void): void {
-    this.waiting.push(done);
+    this.pendingCallbacks.push(done);
     if (!this.syncing) {
-      this.syncWaiting();
+      this.syncPending();
     }
   }
 
-  private syncWaiting(): void {
-    const batch = this.waiting;
-    this.waiting = [];
+  private syncPending(): void {
+    const batch = this.pendingCallbacks;
+    this.pendingCallbacks = [];
     this.syncing = true;
     this.disk.sync(LOG_FILE, () => {
       this.syncing = false;
       for (const done of batch) {
         done();
       }
-      if (this.waiting.length > 0) {
-        this.syncWaiting();
+      if (this.pendingCallbacks.length > 0) {
+        this.syncPending();
       }
     });
   }
 
-  /** Takes a snapshot up to an applied index and drops the log up to it. */
+  /** Stores a snapshot of the applied state and discards the entries that it covers. */
   compact(snapshot: types.Snapshot): void {
     this.entries = this.entries.slice(snapshot.index - this.snapshot.index);
     this.replaceSnapshot(snapshot, () => undefined);
   }
 
-  /** Installs a leader's snapshot; entries behind it stay where they continue it. */
-  install(snapshot: types.Snapshot, done: () => void): void {
-    const continues = this.termAt(snapshot.index) === snapshot.term;
-    this.entries = continues ? this.entries.slice(snapshot.index - this.snapshot.index) : [];
-    if (!continues) {
-      // A crash after the snapshot is replaced but before the log is rewritten would replay entries of an
-      // overwritten past behind the new snapshot. The synced record voids them first.
+  /** Installs a leader's snapshot; entries after it are kept if the log contains its last entry. */
+  installSnapshot(snapshot: types.Snapshot, done: () => void): void {
+    const matchesSnapshot = this.termAt(snapshot.index) === snapshot.term;
+    this.entries = matchesSnapshot ? this.entries.slice(snapshot.index - this.snapshot.index) : [];
+    if (!matchesSnapshot) {
+      // After a crash between the replacement of the snapshot and that of the log, overwritten entries would be
+      // replayed on top of the snapshot. This record invalidates them.
       this.disk.append(LOG_FILE, logFile.encode({ type: 'truncate', fromIndex: snapshot.index + 1 }));
     }
     this.disk.sync(LOG_FILE, () => undefined);
@@ -219,7 +217,7 @@
   private replaceSnapshot(snapshot: types.Snapshot, done: () => void): void {
     this.snapshot = snapshot;
     this.disk.replace(SNAPSHOT_FILE, Buffer.from(JSON.stringify(snapshot)), () => {
-      // The log may be cut only now: cut first, a crash in between would lose both copies.
+      // Rewritten only after the snapshot is stored: a crash in between would otherwise lose both copies.
       this.rewriteLog(done);
     });
   }
--- a/packages/kumquatfront/src/consensus/replica.ts
+++ b/packages/kumquatfront/src/consensus/replica.ts
@@ -1,87 +1,87 @@
 /**
- * One replica of the replicated log: terms, votes and log matching after Ongaro and Ousterhout, "In search
- * of an understandable consensus algorithm" (2014), with pre-vote, check-quorum and a leader lease. It
- * takes messages and timer firings, and gives messages, disk writes and applied entries.
+ * One replica of a Raft log (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014),
+ * with pre-vote, check-quorum and a leader lease. Its inputs are messages and timers; its outputs are messages, disk
+ * writes and applied entries.
  */
 import * as failures from '../kernel/failures.js';
 import type * as ports from '../kernel/ports.js';
 import * as results from '../kernel/results.js';
 import * as applier from './applier.js';
 import * as election from './election.js';
+import * as followerReplication from './followerReplication.js';
 import * as leadership from './leadership.js';
 import type * as replicaOptions from './replicaOptions.js';
-import * as replication from './replication.js';
 import type * as types from './types.js';
 
-/** A replica of the log; see the module comment. */
+/** A Raft replica: holds role, term and leader, and passes messages to its election and replication. */
 export class Replica {
   readonly options: replicaOptions.ReplicaOptions;
   role: types.ReplicaRole = 'uninitialized';
   private readonly applier: applier.Applier;
   private readonly election: election.Election;
-  private readonly replication: replication.Replication;
+  private readonly followerReplication: followerReplication.FollowerReplication;
   private leaderIdentity = '';
-  private heardLeaderAt: number;
-  private hasHeardLeader = false;
+  private lastLeaderContactAt: number;
+  private hasHadLeaderContact = false;
   private leaderCommit = 0;
-  private leading: leadership.Leadership | undefined;
+  private leadership: leadership.Leadership | undefined;
 
   constructor(options: replicaOptions.ReplicaOptions) {
     this.options = options;
     const { store, timers } = options;
     this.applier = new applier.Applier(options);
-    this.election = new election.Election(options, this.electionHost());
-    this.replication = new replication.Replication(store, this.applier, {
+    this.election = new election.Election(options, this.createElectionHost());
+    this.followerReplication = new followerReplication.FollowerReplication(store, this.applier, {
       followLeader: (identity, commitIndex) => {
         this.followLeader(identity, commitIndex);
       },
-      answer: (identity, body) => {
-        this.answer(identity, body);
+      reply: (identity, body) => {
+        this.reply(identity, body);
       },
     });
-    // A restarted voter has forgotten how recently it promised a leader its lease. Counting the restart as
-    // news of a leader makes it refuse votes for one election timeout, which outlasts any lease it gave.
-    this.heardLeaderAt = timers.now();
+    // A restarted voter does not know when it last acknowledged a leader. Treating the restart as leader contact
+    // makes it refuse votes for one election timeout, which outlasts any lease that relies on it.
+    this.lastLeaderContactAt = timers.now();
     if (store.hardState.clusterIdentity !== '') {
       this.becomeFollower('');
-      this.election.askAfterStart();
+      this.election.startProbing();
     }
   }
 
-  private electionHost(): election.ElectionHost {
+  private createElectionHost(): election.ElectionHost {
     return {
       role: () => this.role,
-      leaderAlive: () => (this.leading === undefined ? this.hearsLeader() : this.leading.hasLease()),
-      leaderHeard: () => this.leaderHeard(),
-      knowsLeader: () => this.leaderIdentity !== '',
-      forgetLeader: () => {
+      isLeaderAlive: () => (this.leadership === undefined ? this.leaderAlive() : this.leadership.hasLease()),
+      hasLeaderContact: () => this.hasLeaderContact(),
+      isLeaderKnown: () => this.leaderIdentity !== '',
+      clearLeader: () => {
         this.role = 'follower';
         this.leaderIdentity = '';
       },
       becomeCandidate: () => {
         this.role = 'candidate';
       },
-      won: () => {
+      becomeLeader: () => {
         this.becomeLeader();
       },
       raiseTerm: (term) => {
         this.raiseTerm(term);
       },
-      post: (member, body) => {
-        this.post(member, body);
+      send: (member, body) => {
+        this.sendToMember(member, body);
       },
-      answer: (identity, body) => {
-        this.answer(identity, body);
+      reply: (identity, body) => {
+        this.reply(identity, body);
       },
     };
   }
 
-  /** Index up to which this replica knows the log to be committed. */
+  /** Highest log index that this replica knows to be committed. */
   get commitIndex(): number {
     return this.applier.commitIndex;
   }
 
-  /** Founds a cluster of this one replica; others join it. */
+  /** Bootstraps a cluster with this replica as its only member. */
   found(clusterIdentity: string, member: types.Member): void {
     const { store, clock } = this.options;
     store.setHardState({ clusterIdentity, term: 1, votedFor: store.identity });
@@ -92,7 +92,7 @@
     });
   }
 
-  /** Accepts messages of a cluster from now on; called once a member has answered the request to join. */
+  /** Starts accepting messages of a cluster; called after a member has answered the join request. */
   adopt(clusterIdentity: string): void {
     const { store } = this.options;
     if (store.hardState.clusterIdentity === '') {
@@ -101,50 +101,53 @@
     }
   }
 
-  /** Hands in a message of another replica. */
+  /** Handles a message from another replica. */
   receive(message: types.ConsensusMessage): void {
     const { store } = this.options;
-    // A message for a former identity of this VM, or of another cluster, says nothing to this replica.
+    // The message is for a former identity of this VM, or belongs to another cluster.
     if (message.to !== store.identity || message.clusterIdentity !== store.hardState.clusterIdentity) {
-      this.answerForPredecessor(message);
+      this.answerForFormerIdentity(message);
       return;
     }
-    if (message.term > store.hardState.term && !(message.type === 'voteRequest' || this.isPreVote(message))) {
+    if (
+      message.term > store.hardState.term &&
+      !(message.type === 'voteRequest' || this.isGrantedPreVote(message))
+    ) {
       this.raiseTerm(message.term);
     }
     switch (message.type) {
       case 'voteRequest':
-        this.election.onRequest(message);
+        this.election.onVoteRequest(message);
         break;
       case 'voteAnswer':
-        this.election.onAnswer(message);
+        this.election.onVoteAnswer(message);
         break;
       case 'appendRequest':
-        this.replication.onAppendRequest(message);
+        this.followerReplication.onAppendRequest(message);
         break;
       case 'snapshotPiece':
-        this.replication.onSnapshotPiece(message);
+        this.followerReplication.onSnapshotPiece(message);
         break;
       case 'appendAnswer':
       case 'snapshotAnswer':
         if (message.term === store.hardState.term) {
-          this.leading?.onAnswer(message);
+          this.leadership?.onAnswer(message);
         }
         break;
     }
   }
 
-  /** Proposes a command; `done` gets what the state machine returned once it is committed and applied. */
-  propose(command: unknown, done: replicaOptions.ProposalDone): void {
+  /** Proposes a command; `done` receives the result once the command is committed and applied. */
+  propose(command: unknown, done: replicaOptions.ProposalCallback): void {
     this.appendAsLeader({ type: 'command', command }, done);
   }
 
-  /** Replaces the members by a list that differs in one replica; refused while another change is open. */
-  changeMembers(members: readonly types.Member[], done: replicaOptions.ProposalDone): void {
+  /** Replaces the member list by one that differs in one replica; refused while a change is uncommitted. */
+  changeMembers(members: readonly types.Member[], done: replicaOptions.ProposalCallback): void {
     const { store } = this.options;
-    // Two open changes, or one before this term has committed anything, could leave majorities of the old
-    // and the new members that do not overlap: two leaders. One at a time after a commit of this term is enough.
-    if (store.membersIndex() > this.commitIndex || this.leading?.hasCommitted() !== true) {
+    // With two uncommitted changes, or one before the first commit of this term, the old and the new majority may
+    // not overlap, which allows two leaders.
+    if (store.membersIndex() > this.commitIndex || this.leadership?.hasCommittedInTerm() !== true) {
       const remedy = 'Try again once the open change is committed.';
       done(results.Err(failures.create('conflict', 'A change of members is still open.', remedy)));
       return;
@@ -152,27 +155,27 @@
     this.appendAsLeader({ type: 'members', members }, done);
   }
 
-  private appendAsLeader(payload: types.LogPayload, done: replicaOptions.ProposalDone): void {
+  private appendAsLeader(payload: types.LogPayload, done: replicaOptions.ProposalCallback): void {
     const { store, clock } = this.options;
-    if (this.leading === undefined) {
-      done(results.Err(this.notLeader()));
+    if (this.leadership === undefined) {
+      done(results.Err(this.notLeaderFailure()));
       return;
     }
-    // A leader without its lease may already have a successor: taking the change would leave its operator
-    // waiting for a commit that cannot come. Refusing at once, before anything is written, is safe to say.
-    if (!this.leading.hasLease()) {
+    // A leader without a lease may have been replaced, in which case the entry would never be committed. It refuses
+    // before anything is written, so that the caller can safely retry elsewhere.
+    if (!this.leadership.hasLease()) {
       const remedy = 'Try another control replica; nothing was changed.';
-      done(results.Err(failures.create('noQuorum', 'This leader does not hear from a quorum.', remedy)));
+      done(results.Err(failures.create('noQuorum', 'This leader has lost contact with a quorum.', remedy)));
       return;
     }
     const index = store.lastIndex + 1;
     const stamp = Math.max(clock.wall(), store.lastStamp);
     store.append({ index, term: store.hardState.term, stamp, payload });
-    this.applier.expect(index, done);
-    this.leading.onAppended();
+    this.applier.registerProposal(index, done);
+    this.leadership.onAppended();
   }
 
-  private notLeader(): failures.Failure {
+  private notLeaderFailure(): failures.Failure {
     const leader = this.leader();
     return failures.create(
       'notLeader',
@@ -188,27 +191,27 @@
     return this.options.store.members().find((member) => member.identity === this.leaderIdentity);
   }
 
-  /** True when what this replica has applied is at most a few heartbeats behind what is committed. */
+  /** True if the applied state is at most a few heartbeats behind the committed log. */
   isFresh(): boolean {
-    if (this.leading !== undefined) {
-      return this.leading.hasLease() && this.leading.hasCommitted();
+    if (this.leadership !== undefined) {
+      return this.leadership.hasLease() && this.leadership.hasCommittedInTerm();
     }
-    return this.hearsLeader() && this.leaderIdentity !== '' && this.applier.appliedIndex >= this.leaderCommit;
+    return this.leaderAlive() && this.leaderIdentity !== '' && this.applier.appliedIndex >= this.leaderCommit;
   }
 
   /**
-   * Calls back once this replica's state machine is certain to hold everything that was committed before the
-   * call; with a failure where that cannot be known here. Depends on no clock.
+   * Linearizable read: calls back once the state machine is known to contain everything committed before the call,
+   * or with a failure if this cannot be established. Does not depend on clocks.
    */
   confirmRead(done: (result: results.Result<null, failures.Failure>) => void): void {
-    const leading = this.leading;
-    if (leading === undefined) {
-      done(results.Err(this.notLeader()));
+    const currentLeadership = this.leadership;
+    if (currentLeadership === undefined) {
+      done(results.Err(this.notLeaderFailure()));
       return;
     }
-    leading.confirm((leads) => {
-      // An entry of this term must be committed too: before it, the leader does not know what others committed.
-      if (leads && leading.hasCommitted()) {
+    currentLeadership.confirmLeadership((isLeader) => {
+      // Until an entry of this term is committed, the leader does not know what its predecessors committed.
+      if (isLeader && currentLeadership.hasCommittedInTerm()) {
         done(results.Ok(null));
         return;
       }
@@ -217,24 +220,24 @@
     });
   }
 
-  /** True for a leader that may act alone: it holds its lease and has applied all before its term. */
+  /** True for a leader that holds its lease and has committed an entry of its term, so that it may act. */
   mayLead(): boolean {
-    return this.leading !== undefined && this.isFresh();
+    return this.leadership !== undefined && this.isFresh();
   }
 
-  /** Time since this replica heard from a leader; 0 where it leads. */
+  /** Time since the last contact from a leader; 0 if this replica is the leader. */
   silentFor(): ports.Milliseconds {
-    return this.leading === undefined ? this.options.timers.now() - this.heardLeaderAt : 0;
+    return this.leadership === undefined ? this.options.timers.now() - this.lastLeaderContactAt : 0;
   }
 
-  /** Time for which this replica has led; 0 where it does not. */
+  /** Time since this replica became leader; 0 if it is not the leader. */
   leadsFor(): ports.Milliseconds {
-    return this.leading?.age() ?? 0;
+    return this.leadership?.duration() ?? 0;
   }
 
-  /** How far a member's log is known to match, and when it last answered; for the leader only. */
+  /** Replication progress of a member; known to the leader only. */
   progressOf(identity: string): leadership.Progress | undefined {
-    return this.leading?.progressOf(identity);
+    return this.leadership?.progressOf(identity);
   }
 
   status(): types.ReplicaStatus {
@@ -254,41 +257,42 @@
   }
 
   /**
-   * A VM that lost its disk is a new replica; its former identity cannot answer any more, and cannot lead. Without
-   * this answer the others, all restarted, would wait for an election timeout for a leader that cannot be.
+   * Answers a probe for the former identity of this VM, whose disk was lost: that identity cannot be the leader.
+   * Without an answer, voters that have all restarted would wait for an election timeout.
    */
-  private answerForPredecessor(message: types.ConsensusMessage): void {
+  private answerForFormerIdentity(message: types.ConsensusMessage): void {
     const { store, send } = this.options;
     if (message.type !== 'voteRequest' || !message.preVote || !message.afterRestart) {
       return;
     }
-    if (message.to === store.identity || this.leading !== undefined || this.leaderHeard()) {
+    if (message.to === store.identity || this.leadership !== undefined || this.hasLeaderContact()) {
       return;
     }
     const { clusterIdentity, to: from, from: to } = message;
-    const nothing = { asks: false, lastIndex: 0, lastTerm: 0 };
-    const answer = {
+    const emptyLog = { asks: false, lastIndex: 0, lastTerm: 0 };
+    const refusal = {
       type: 'voteAnswer',
       preVote: true,
       granted: false,
       leaderless: true,
-      ...nothing,
+      ...emptyLog,
     } as const;
-    // The asker's own term: it named the next one, which a refusal must not make it take.
-    send(message.answerTo, { ...answer, clusterIdentity, from, to, term: message.term - 1 });
+    // A probe carries the next term of its sender; the refusal must not make the sender adopt it.
+    send(message.answerTo, { ...refusal, clusterIdentity, from, to, term: message.term - 1 });
   }
 
-  private isPreVote(message: types.ConsensusMessage): boolean {
+  private isGrantedPreVote(message: types.ConsensusMessage): boolean {
     return message.type === 'voteAnswer' && message.preVote && message.granted;
   }
 
-  /** True where this replica leads, or has heard from a leader since its start and within an election timeout. */
-  private leaderHeard(): boolean {
-    return this.leading === undefined ? this.hasHeardLeader && this.hearsLeader() : true;
+  /** True if this replica leads, or has had leader contact since its start and within the election timeout. */
+  private hasLeaderContact(): boolean {
+    return this.leadership === undefined ? this.hasHadLeaderContact && this.leaderAlive() : true;
   }
 
-  private hearsLeader(): boolean {
-    return this.options.timers.now() - this.heardLeaderAt < this.options.timing.electionTimeout;
+  /** Presumes a leader to be alive for one election timeout after its last contact or after the start. */
+  private leaderAlive(): boolean {
+    return this.options.timers.now() - this.lastLeaderContactAt < this.options.timing.electionTimeout;
   }
 
   private raiseTerm(term: number): void {
@@ -298,15 +302,15 @@
   }
 
   private becomeFollower(leaderIdentity: string): void {
-    const wasLeading = this.leading !== undefined;
-    this.leading?.stop();
-    this.leading = undefined;
+    const wasLeading = this.leadership !== undefined;
+    this.leadership?.stop();
+    this.leadership = undefined;
     this.role = 'follower';
     this.leaderIdentity = leaderIdentity;
     this.election.restartTimer();
     if (wasLeading) {
       this.options.log.warn('leaderStepsDown', { term: this.options.store.hardState.term });
-      this.applier.failPending();
+      this.applier.failPendingProposals();
     }
   }
 
@@ -316,16 +320,16 @@
     this.role = 'leader';
     this.leaderIdentity = store.identity;
     log.info('leaderElected', { term: store.hardState.term, lastIndex: store.lastIndex });
-    this.leading = new leadership.Leadership(this.options, {
+    this.leadership = new leadership.Leadership(this.options, {
       commitIndex: () => this.commitIndex,
       commit: (index) => {
         this.applier.commitTo(index);
       },
-      lostQuorum: () => {
+      stepDown: () => {
         this.becomeFollower('');
       },
-      post: (member, body) => {
-        this.post(member, body);
+      send: (member, body) => {
+        this.sendToMember(member, body);
       },
     });
     const stamp = Math.max(clock.wall(), store.lastStamp);
@@ -335,12 +339,12 @@
       stamp,
       payload: { type: 'noop' },
     });
-    this.leading.start();
+    this.leadership.start();
   }
 
   private followLeader(from: string, commitIndex: number): void {
-    this.heardLeaderAt = this.options.timers.now();
-    this.hasHeardLeader = true;
+    this.lastLeaderContactAt = this.options.timers.now();
+    this.hasHadLeaderContact = true;
     this.leaderCommit = commitIndex;
     if (this.role !== 'follower' || this.leaderIdentity !== from) {
       this.becomeFollower(from);
@@ -348,18 +352,21 @@
     this.election.restartTimer();
   }
 
-  private answer(identity: string, body: leadership.MessageBody): void {
+  private reply(identity: string, body: leadership.MessageBody): void {
     const member = this.options.store.members().find((candidate) => candidate.identity === identity);
     const address = member?.address ?? this.replyAddresses.get(identity);
     if (address !== undefined) {
-      this.post({ identity, address }, body);
+      this.sendToMember({ identity, address }, body);
     }
   }
 
-  /** Addresses of replicas that are not in this replica's log yet, learned from the answer to its join. */
+  /** Addresses of members that are not in the log yet, learned from the answer to the join request. */
   readonly replyAddresses = new Map<string, string>();
 
-  private post(member: Pick<types.Member, 'identity' | 'address'>, body: leadership.MessageBody): void {
+  private sendToMember(
+    member: Pick<types.Member, 'identity' | 'address'>,
+    body: leadership.MessageBody,
+  ): void {
     const { store, send } = this.options;
     const { clusterIdentity } = store.hardState;
     const message = { ...body, clusterIdentity, from: store.identity, to: member.identity };
--- a/packages/kumquatfront/src/consensus/replicaOptions.ts
+++ b/packages/kumquatfront/src/consensus/replicaOptions.ts
@@ -1,5 +1,5 @@
 /**
- * What a replica of the log is made from; its parts take the same.
+ * Dependencies and settings of a replica, shared by its components.
  */
 import type * as failures from '../kernel/failures.js';
 import type * as ports from '../kernel/ports.js';
@@ -8,7 +8,7 @@
 import type * as logStore from './logStore.js';
 import type * as types from './types.js';
 
-/** The state machine behind the log, as functions. */
+/** State machine to which the committed log entries are applied. */
 export interface StateMachine {
   /** Applies a committed command and returns its result; must be deterministic. */
   readonly apply: (command: unknown, index: number, stamp: number) => unknown;
@@ -16,7 +16,7 @@
   readonly restore: (state: unknown) => void;
 }
 
-/** What a replica is made from. */
+/** Dependencies and settings of a replica. */
 export interface ReplicaOptions {
   readonly store: logStore.LogStore;
   readonly timers: timerService.TimerService;
@@ -25,9 +25,9 @@
   readonly log: ports.Log;
   readonly timing: types.ConsensusTiming;
   readonly machine: StateMachine;
-  /** Sends a message to a member's address; it may be lost. */
+  /** Sends a message to a member's address; delivery is not guaranteed. */
   readonly send: (address: string, message: types.ConsensusMessage) => void;
 }
 
-/** Receives the result of a proposal, or why there is none. */
-export type ProposalDone = (result: results.Result<unknown, failures.Failure>) => void;
+/** Called with the result of a proposal, or with the reason why there is none. */
+export type ProposalCallback = (result: results.Result<unknown, failures.Failure>) => void;
--- a/packages/kumquatfront/src/consensus/replicaBench.ts
+++ b/packages/kumquatfront/src/consensus/replicaTestHarness.ts
@@ -1,5 +1,5 @@
 /**
- * One replica of three, driven by messages and timers alone, for the specs.
+ * Test harness that drives one replica of three by messages and timers.
  */
 import * as assert from 'node:assert/strict';
 
@@ -9,25 +9,25 @@
 import * as replica from './replica.js';
 import type * as types from './types.js';
 
-/** Identity of the cluster on the bench. */
+/** Identity of the test cluster. */
 export const CLUSTER = 'cluster';
 export const ELECTION_TIMEOUT = 1_000;
 
 /** A voter whose name and address are its identity. */
-export function member(identity: string): types.Member {
+export function voter(identity: string): types.Member {
   return { identity, name: identity, address: identity, role: 'voter' };
 }
 
-const MEMBERS = ['a', 'b', 'c'].map(member);
+const MEMBERS = ['a', 'b', 'c'].map(voter);
 
-/** Replica `a` of three, whose clock is set by hand and whose timers fire only when told to. */
-export class Bench {
+/** Replica `a` of three, whose clock and timers advance only through `advance`. */
+export class ReplicaTestHarness {
   now = 0;
   readonly sent: types.ConsensusMessage[] = [];
   readonly applied: unknown[] = [];
   readonly store: logStore.LogStore;
   readonly replica: replica.Replica;
-  private readonly timers: { readonly at: number; readonly run: () => void; live: boolean }[] = [];
+  private readonly timers: { readonly at: number; readonly run: () => void; active: boolean }[] = [];
 
   constructor(entries: readonly types.LogEntry[], term: number) {
     const disk: ports.Disk = {
@@ -48,13 +48,13 @@
     for (const entry of entries) {
       this.store.append(entry);
     }
-    const silent = (): void => undefined;
+    const ignore = (): void => undefined;
     this.replica = new replica.Replica({
       store: this.store,
       clock,
       random,
       timers: timerService.create(clock, { after: (delay, run) => this.schedule(delay, run) }),
-      log: { debug: silent, info: silent, warn: silent, error: silent },
+      log: { debug: ignore, info: ignore, warn: ignore, error: ignore },
       timing: {
         heartbeat: 100,
         electionTimeout: ELECTION_TIMEOUT,
@@ -66,32 +66,32 @@
       machine: {
         apply: (command) => this.applied.push(command),
         takeSnapshot: () => null,
-        restore: silent,
+        restore: ignore,
       },
       send: (_address, message) => this.sent.push(message),
     });
   }
 
   private schedule(delay: number, run: () => void): ports.Cancel {
-    const timer = { at: this.now + delay, run, live: true };
+    const timer = { at: this.now + delay, run, active: true };
     this.timers.push(timer);
     return () => {
-      timer.live = false;
+      timer.active = false;
     };
   }
 
   advance(duration: number): void {
     this.now += duration;
     for (const timer of this.timers.splice(0)) {
-      if (timer.live && timer.at <= this.now) {
+      if (timer.active && timer.at <= this.now) {
         timer.run();
-      } else if (timer.live) {
+      } else if (timer.active) {
         this.timers.push(timer);
       }
     }
   }
 
-  askVote(term: number, lastIndex: number, lastTerm: number, afterRestart = false): boolean {
+  requestVote(term: number, lastIndex: number, lastTerm: number, afterRestart = false): boolean {
     this.replica.receive({
       ...{ type: 'voteRequest', preVote: false, clusterIdentity: CLUSTER, from: 'b', to: 'a' },
       ...{ term, lastIndex, lastTerm, afterRestart, answerTo: 'b' },
@@ -109,7 +109,7 @@
   }
 
   /** Wins an election with the vote of `b`. */
-  win(): void {
+  winElection(): void {
     this.advance(ELECTION_TIMEOUT * 2);
     const term = this.store.hardState.term + 1;
     const address = { clusterIdentity: CLUSTER, from: 'b', to: 'a', term };
@@ -119,8 +119,8 @@
     assert.equal(this.replica.role, 'leader');
   }
 
-  /** A voter says, without giving its vote, whether it knows a leader. */
-  answerLeaderless(from: string, leaderless: boolean, lastIndex = 1): void {
+  /** Delivers the answer of another voter to a probe: whether it knows a leader. */
+  receiveLeaderlessAnswer(from: string, leaderless: boolean, lastIndex = 1): void {
     const { term } = this.store.hardState;
     this.replica.receive({
       ...{
@@ -136,7 +136,7 @@
     });
   }
 
-  /** Messages of a kind that went out since the last call. */
+  /** Messages of a type that were sent since the last call. All other sent messages are discarded. */
   takeSent<Type extends types.ConsensusMessage['type']>(
     type: Type,
   ): readonly Extract<types.ConsensusMessage, { type: Type }>[] {
@@ -163,7 +163,7 @@
   }
 }
 
-/** An entry of the log. */
+/** A log entry with a command. */
 export function command(index: number, term: number): types.LogEntry {
   return { index, term, stamp: 0, payload: { type: 'command', command: index } };
 }
--- a/packages/kumquatfront/src/consensus/snapshotTransfer.ts
+++ b/packages/kumquatfront/src/consensus/snapshotReceiver.ts
@@ -1,23 +1,23 @@
 /**
- * Gathers the pieces of a snapshot that is too large for one message.
+ * Assembles a snapshot that is too large for one message from its pieces.
  */
 import type * as types from './types.js';
 
-/** Receives the pieces of one snapshot at a time, in order. */
+/** Assembles one snapshot at a time from pieces received in order. */
 export class SnapshotReceiver {
   private index = 0;
   private text = '';
 
-  /** Characters received so far; the leader goes on from here. */
-  get received(): number {
+  /** Number of characters received so far; the leader continues at this offset. */
+  get receivedLength(): number {
     return this.text.length;
   }
 
   /**
-   * Takes a piece.
+   * Adds a piece.
    *
-   * @param piece - the piece; one that does not continue the text is dropped
-   * @returns the whole snapshot once the last piece is there
+   * @param piece - the piece; ignored if it does not continue the received text
+   * @returns the snapshot once its last piece was received, else undefined
    */
   receive(piece: types.SnapshotPiece): types.Snapshot | undefined {
     if (piece.index !== this.index || piece.offset === 0) {
--- a/packages/kumquatfront/src/consensus/types.ts
+++ b/packages/kumquatfront/src/consensus/types.ts
@@ -1,24 +1,25 @@
 /**
- * Messages and records of the replicated log. Indexes and terms start at 1; index 0 is "before the log".
+ * Messages, records and settings of the replicated log. Log indexes and terms start at 1; index 0 precedes the
+ * first entry.
  */
 
-/** What a replica does at this moment. */
+/** Current role of a replica. */
 export type ReplicaRole = 'uninitialized' | 'follower' | 'candidate' | 'leader';
 
-/** A voter counts for the quorum; a learner only receives the log. */
+/** A voter counts towards the quorum; a learner only receives the log. */
 export type MemberRole = 'voter' | 'learner';
 
-/** One control replica. The identity is random and lives in the data folder; the name is the VM's. */
+/** A control replica. The identity is random and stored in the data folder; the name is that of the VM. */
 export interface Member {
   readonly identity: string;
   readonly name: string;
   readonly address: string;
-  /** Absent in members that joined before it was told. */
+  /** Absent for members that joined without reporting one. */
   readonly dataCentre?: string;
   readonly role: MemberRole;
 }
 
-/** What an entry of the log carries. */
+/** Payload of a log entry. */
 export type LogPayload =
   | { readonly type: 'noop' }
   | { readonly type: 'members'; readonly members: readonly Member[] }
@@ -28,12 +29,12 @@
 export interface LogEntry {
   readonly index: number;
   readonly term: number;
-  /** Wall-clock milliseconds given by the leader; never goes down along the log. */
+  /** Wall-clock time assigned by the leader, in milliseconds; never decreases along the log. */
   readonly stamp: number;
   readonly payload: LogPayload;
 }
 
-/** State of everything up to `index`, replacing the log before it. */
+/** State after all entries up to `index` were applied; replaces these entries. */
 export interface Snapshot {
   readonly index: number;
   readonly term: number;
@@ -42,75 +43,79 @@
   readonly state: unknown;
 }
 
-/** Term and vote, durable before any answer that depends on them. */
+/** Cluster, term and vote; synced to disk before any message that depends on them is sent. */
 export interface HardState {
   readonly clusterIdentity: string;
   readonly term: number;
   readonly votedFor: string;
 }
 
-interface Addressed {
+/** Fields of every message between replicas. */
+interface MessageHeader {
   readonly clusterIdentity: string;
   readonly from: string;
   readonly to: string;
   readonly term: number;
 }
 
-/** Asks for a vote; with `preVote` nothing is recorded and no term is raised. */
-export interface VoteRequest extends Addressed {
+/** Requests a vote. A pre-vote records nothing and does not raise any term. */
+export interface VoteRequest extends MessageHeader {
   readonly type: 'voteRequest';
   readonly preVote: boolean;
   readonly lastIndex: number;
   readonly lastTerm: number;
-  /** Asked by a replica that has just started: as a pre-vote it asks all voters whether any knows a leader. */
+  /**
+   * Sent by a replica that has just started. Together with `preVote`, it is a probe that asks whether the receiver
+   * knows a leader.
+   */
   readonly afterRestart: boolean;
-  /** Where the candidate is reached: one that lost its disk knows no member to answer to. */
+  /** Address for the answer: a receiver that lost its disk does not know the addresses of the members. */
   readonly answerTo: string;
 }
 
-/** Answers a request for a vote. */
-export interface VoteAnswer extends Addressed {
+/** Answers a vote request. */
+export interface VoteAnswer extends MessageHeader {
   readonly type: 'voteAnswer';
   readonly preVote: boolean;
   readonly granted: boolean;
   /**
-   * True where the answerer neither leads nor has heard from a leader, a restart of its own not counted, and has
-   * given no vote that may still elect one.
+   * True if the sender is not a leader, has had no contact with a leader within the last election timeout (its own
+   * restart does not count as contact), and has not voted for another candidate that may still be elected.
    */
   readonly leaderless: boolean;
-  /** True where the answerer has just started too, and asks the same. */
+  /** True if the sender has just started as well and is probing for a leader. */
   readonly asks: boolean;
-  /** End of the answerer's log. */
+  /** Position of the last entry in the sender's log. */
   readonly lastIndex: number;
   readonly lastTerm: number;
 }
 
-/** Sends entries, or only a heartbeat. */
-export interface AppendRequest extends Addressed {
+/** Replicates entries; without entries it is a heartbeat. */
+export interface AppendRequest extends MessageHeader {
   readonly type: 'appendRequest';
   readonly previousIndex: number;
   readonly previousTerm: number;
   readonly entries: readonly LogEntry[];
   readonly commitIndex: number;
-  /** Leader's monotonic send time, echoed in the answer; the leader's lease counts from it. */
+  /** Monotonic send time of the leader, echoed in the answer; the leader lease is renewed from it. */
   readonly sentAt: number;
-  /** Number of the leader's message, echoed in the answer; reads are confirmed by it. */
+  /** Sequence number of the leader's message, echoed in the answer to confirm reads. */
   readonly round: number;
 }
 
-/** Answers an append after the entries are synced. */
-export interface AppendAnswer extends Addressed {
+/** Answers an append request after its entries are synced to disk. */
+export interface AppendAnswer extends MessageHeader {
   readonly type: 'appendAnswer';
   readonly success: boolean;
-  /** On success the last index known to match; else the index to go on from. */
+  /** On success, the last index known to match; on failure, the index after which the leader should resume. */
   readonly matchIndex: number;
   readonly sentAt: number;
-  /** Number of the leader's message, echoed in the answer; reads are confirmed by it. */
+  /** Sequence number of the leader's message, echoed in the answer to confirm reads. */
   readonly round: number;
 }
 
-/** One piece of a snapshot. */
-export interface SnapshotPiece extends Addressed {
+/** One piece of a snapshot, which is sent in several messages. */
+export interface SnapshotPiece extends MessageHeader {
   readonly type: 'snapshotPiece';
   readonly index: number;
   readonly snapshotTerm: number;
@@ -119,47 +124,47 @@
   /** A slice of the snapshot's JSON text. */
   readonly data: string;
   readonly sentAt: number;
-  /** Number of the leader's message, echoed in the answer; reads are confirmed by it. */
+  /** Sequence number of the leader's message, echoed in the answer to confirm reads. */
   readonly round: number;
 }
 
-/** Says how much of a snapshot arrived. */
-export interface SnapshotAnswer extends Addressed {
+/** Acknowledges the received part of a snapshot. */
+export interface SnapshotAnswer extends MessageHeader {
   readonly type: 'snapshotAnswer';
   readonly index: number;
   readonly received: number;
   readonly installed: boolean;
   readonly sentAt: number;
-  /** Number of the leader's message, echoed in the answer; reads are confirmed by it. */
+  /** Sequence number of the leader's message, echoed in the answer to confirm reads. */
   readonly round: number;
 }
 
-/** Every message between replicas. */
+/** Any message between replicas. */
 export type ConsensusMessage =
   VoteRequest | VoteAnswer | AppendRequest | AppendAnswer | SnapshotPiece | SnapshotAnswer;
 
-/** The durable records of the log file. */
+/** A record of the log file. */
 export type DiskRecord =
   | { readonly type: 'entry'; readonly entry: LogEntry }
-  /** Entries from this index on are void: a newer leader overwrote them. */
+  /** Invalidates the entries from this index on, which a newer leader has overwritten. */
   | { readonly type: 'truncate'; readonly fromIndex: number }
   | { readonly type: 'hardState'; readonly hardState: HardState };
 
-/** Timing of a replica, in milliseconds. */
+/** Timing (in milliseconds) and size limits of a replica. */
 export interface ConsensusTiming {
   readonly heartbeat: number;
-  /** A follower waits between this and twice this without a leader before it asks for votes. */
+  /** A follower without a leader starts an election after a random time between this and twice this value. */
   readonly electionTimeout: number;
-  /** Share of the election timeout that a leader may trust without hearing from a quorum, below 1. */
+  /** Duration of the leader lease as a fraction of the election timeout, below 1. */
   readonly leaseShare: number;
-  /** Log entries kept behind the applied index before a snapshot is taken. */
+  /** Number of applied log entries after which a snapshot is taken. */
   readonly snapshotEvery: number;
   readonly snapshotPieceLength: number;
-  /** Entries an append carries at most. */
+  /** Maximum number of entries in an append request. */
   readonly appendLimit: number;
 }
 
-/** Status of a replica for operators and for the services beside it. */
+/** Status of a replica, for operators and the other services of the process. */
 export interface ReplicaStatus {
   readonly identity: string;
   readonly clusterIdentity: string;
@@ -170,6 +175,6 @@
   readonly commitIndex: number;
   readonly appliedIndex: number;
   readonly members: readonly Member[];
-  /** True for a leader with its lease, or a follower that hears from a leader and is not behind. */
+  /** True for a leader that holds its lease, or a follower in contact with a leader and not behind it. */
   readonly fresh: boolean;
 }
--- a/packages/scenarios/src/scripts/dataCentreSafeguards.ts
+++ b/packages/scenarios/src/scripts/dataCentreSafeguards.ts
@@ -8,7 +8,7 @@
   {
     name: 'an evacuation is part of snapshots',
     file: 'agreedState/agreedState.js',
-    find: '...(this.heldEvacuations.revision === 0 ? {} : { evacuations: this.heldEvacuations }),',
+    find: '...(this.currentEvacuations.revision === 0 ? {} : { evacuations: this.currentEvacuations }),',
     replace: '',
     scenario: 'spec:trafficControl/evacuations',
   },
--- a/packages/scenarios/src/scripts/relaySafeguards.ts
+++ b/packages/scenarios/src/scripts/relaySafeguards.ts
@@ -177,8 +177,8 @@
   {
     name: 'a read is confirmed by answers to messages sent after it',
     file: 'consensus/leadership.js',
-    find: '(entry) => answered > entry.after',
-    replace: '(entry) => answered >= 0',
+    find: '(entry) => acknowledgedRound > entry.afterRound',
+    replace: '(entry) => acknowledgedRound >= 0',
     scenario: 'spec:consensus/replica',
   },
   {
@@ -205,7 +205,7 @@
   {
     name: 'only a higher version takes effect',
     file: 'agreedState/agreedState.js',
-    find: 'this.heldTraffic === undefined || version > this.heldTraffic.version',
+    find: 'this.currentTraffic === undefined || version > this.currentTraffic.version',
     replace: 'true',
     scenario: CONTROL,
   },
