--- a/packages/kumquatfront/src/agreedState/agreedState.ts
+++ b/packages/kumquatfront/src/agreedState/agreedState.ts
@@ -1,6 +1,6 @@
 /**
- * Replicated state of the control replicas: configuration, answers to change ids, claims, orders, quarantined contents
- * and evacuations. Deterministic: replicas that have applied the same log have the same state and digest.
+ * The agreed state, which the control replicas replicate: configuration, answers to change ids, claims, orders,
+ * quarantined contents and evacuations. Deterministic: replicas with the same log have the same state and digest.
  */
 import type * as configuration from '../configuration/types.js';
 import * as validation from '../configuration/validation.js';
@@ -52,7 +52,7 @@
   quarantined: 256,
 };
 
-/** State machine of the control replicas. */
+/** Replicated state machine of the control replicas. */
 export class AgreedState {
   private version = 0;
   private objects = new Map<string, configuration.ConfigurationObject>();
@@ -76,6 +76,7 @@
     return this.version;
   }
 
+  /** Number of claims kept, over all client accounts. */
   get claimCount(): number {
     return this.claims.size;
   }
@@ -260,6 +261,7 @@
     return [...this.orders.values()].filter((order) => order.state === 'open');
   }
 
+  /** The current configuration object; undefined if there is none. */
   objectOf(kind: string, name: string): configuration.ConfigurationObject | undefined {
     return this.objects.get(validation.keyOf(kind, name));
   }
@@ -284,6 +286,7 @@
     return canonicalJson.digest(this.toJson());
   }
 
+  /** The state as JSON, for a snapshot. */
   toJson(): AgreedStateJson {
     return {
       version: this.version,
@@ -300,6 +303,7 @@
     };
   }
 
+  /** Replaces the state by that of a snapshot. */
   restore(json: AgreedStateJson): void {
     this.version = json.version;
     this.objects = new Map(
--- a/packages/kumquatfront/src/agreedState/claimTable.ts
+++ b/packages/kumquatfront/src/agreedState/claimTable.ts
@@ -18,6 +18,7 @@
     this.limits = limits;
   }
 
+  /** Number of claims, over all client accounts. */
   get size(): number {
     return this.claims.size;
   }
@@ -116,10 +117,12 @@
     }
   }
 
+  /** All claims, for a snapshot. */
   toJson(): readonly types.Claim[] {
     return [...this.claims.values()];
   }
 
+  /** Replaces all claims by those of a snapshot. */
   restore(claims: readonly types.Claim[]): void {
     this.claims = new Map();
     this.countByAccount = new Map();
--- a/packages/kumquatfront/src/agreedState/types.ts
+++ b/packages/kumquatfront/src/agreedState/types.ts
@@ -24,7 +24,7 @@
   readonly key: string;
   /** Digest of the request; detects a key that is reused for another request. */
   readonly digest: string;
-  /** Name of the entry that claims, for operators. */
+  /** The entry that makes the claim, shown to operators. */
   readonly holder: string;
   /** Unique for each attempt; only the attempt that holds the claim may dispatch the call. */
   readonly attempt: string;
--- a/packages/kumquatfront/src/consensus/applier.ts
+++ b/packages/kumquatfront/src/consensus/applier.ts
@@ -41,6 +41,7 @@
     this.appliedIndex = snapshot.index;
   }
 
+  /** Advances the commit index and applies the newly committed entries. Takes a snapshot if one is due. */
   commitTo(index: number): void {
     const { store, timing } = this.options;
     this.commitIndex = Math.max(this.commitIndex, Math.min(index, store.lastIndex));
--- a/packages/kumquatfront/src/consensus/election.ts
+++ b/packages/kumquatfront/src/consensus/election.ts
@@ -89,10 +89,12 @@
     this.host = host;
   }
 
+  /** Stops the election timer; a leader does not need one. */
   stopTimer(): void {
     this.cancelTimer();
   }
 
+  /** Restarts the election timer with a new random timeout. */
   restartTimer(): void {
     const { timers, random, timing } = this.options;
     this.cancelTimer();
@@ -226,6 +228,7 @@
     }
   }
 
+  /** Answers a vote request, pre-vote or probe once the granted vote is synced. */
   onVoteRequest(message: types.VoteRequest): void {
     const { store } = this.options;
     const upToDate = isUpToDate(message, store);
@@ -283,6 +286,7 @@
     return votedFor !== '' && votedFor !== candidate && timers.now() - this.votedAt < timing.electionTimeout;
   }
 
+  /** Counts a granted vote or pre-vote, and records whether the sender knows a leader. */
   onVoteAnswer(message: types.VoteAnswer): void {
     if (message.preVote) {
       this.recordLeaderlessAnswer(message);
--- a/packages/kumquatfront/src/consensus/followerReplication.ts
+++ b/packages/kumquatfront/src/consensus/followerReplication.ts
@@ -27,6 +27,7 @@
     this.host = host;
   }
 
+  /** Stores entries that continue the local log, or refuses them if the logs do not match. */
   onAppendRequest(message: types.AppendRequest): void {
     const { store } = this;
     if (message.term < store.hardState.term) {
@@ -71,6 +72,7 @@
     });
   }
 
+  /** Collects the pieces of a snapshot and installs it once it is complete. */
   onSnapshotPiece(message: types.SnapshotPiece): void {
     const { store } = this;
     if (message.term < store.hardState.term) {
--- a/packages/kumquatfront/src/consensus/leadership.ts
+++ b/packages/kumquatfront/src/consensus/leadership.ts
@@ -22,6 +22,7 @@
   acknowledgedAt: number;
   /** Send time of the message that is not acknowledged yet; undefined if there is none. */
   inFlightSince: number | undefined;
+  /** Number of characters of the current snapshot that the member has received. */
   snapshotReceived: number;
   /** Sequence number of the newest acknowledged message. */
   acknowledgedRound: number;
@@ -41,6 +42,7 @@
   readonly send: (member: types.Member, body: MessageBody) => void;
 }
 
+/** Heartbeat intervals after which unacknowledged entries are sent again. */
 const RESEND_AFTER_HEARTBEATS = 2;
 
 /** State of a leader during one term; discarded when the replica steps down. */
@@ -66,6 +68,7 @@
     this.startedAt = options.timers.now();
   }
 
+  /** Starts the heartbeats and replicates the first entry of the term. */
   start(): void {
     this.cancelHeartbeat = this.options.timers.every(
       () => this.options.timing.heartbeat,
@@ -81,6 +84,7 @@
     return this.options.timers.now() - this.startedAt;
   }
 
+  /** Stops the heartbeats and fails the pending read confirmations. */
   stop(): void {
     this.stopped = true;
     this.cancelHeartbeat();
@@ -130,6 +134,7 @@
     }
   }
 
+  /** Replication progress of a member; undefined for this replica and for replicas that are not members. */
   progressOf(identity: string): Progress | undefined {
     return this.progress.get(identity);
   }
@@ -157,6 +162,7 @@
     });
   }
 
+  /** Updates the progress of a member by its answer, and sends it the next entries. */
   onAnswer(message: types.AppendAnswer | types.SnapshotAnswer): void {
     const peer = this.progress.get(message.from);
     if (peer === undefined || this.stopped) {
--- a/packages/kumquatfront/src/consensus/logStore.ts
+++ b/packages/kumquatfront/src/consensus/logStore.ts
@@ -96,14 +96,17 @@
     }
   }
 
+  /** Index of the last entry; that of the snapshot if the log is empty. */
   get lastIndex(): number {
     return this.snapshot.index + this.entries.length;
   }
 
+  /** Term of the last entry; that of the snapshot if the log is empty. */
   get lastTerm(): number {
     return this.entries.at(-1)?.term ?? this.snapshot.term;
   }
 
+  /** Time stamp of the last entry; that of the snapshot if the log is empty. */
   get lastStamp(): number {
     return this.entries.at(-1)?.stamp ?? this.snapshot.stamp;
   }
@@ -148,11 +151,13 @@
     return undefined;
   }
 
+  /** Appends an entry; it is durable after the next sync. */
   append(entry: types.LogEntry): void {
     this.entries.push(entry);
     this.disk.append(LOG_FILE, logFile.encode({ type: 'entry', entry }));
   }
 
+  /** Discards the entries from an index on, which a newer leader has overwritten. */
   truncateFrom(index: number): void {
     this.discardFrom(index);
     this.disk.append(LOG_FILE, logFile.encode({ type: 'truncate', fromIndex: index }));
@@ -162,6 +167,7 @@
     this.entries.length = Math.max(0, Math.min(this.entries.length, index - this.snapshot.index - 1));
   }
 
+  /** Replaces cluster, term and vote; they are durable after the next sync. */
   setHardState(hardState: types.HardState): void {
     this.hardState = hardState;
     this.disk.append(LOG_FILE, logFile.encode({ type: 'hardState', hardState }));
--- a/packages/kumquatfront/src/consensus/replica.spec.ts
+++ b/packages/kumquatfront/src/consensus/replica.spec.ts
@@ -125,9 +125,9 @@
 void test.test('restarted voters elect a leader at once if none of them knows one', () => {
   const harness = new replicaTestHarness.ReplicaTestHarness([], 3);
   harness.advance(100);
-  const asked = harness.takeSent('voteRequest');
+  const probes = harness.takeSent('voteRequest');
   assert.deepEqual(
-    asked.map(({ to, preVote, afterRestart }) => ({ to, preVote, afterRestart })),
+    probes.map(({ to, preVote, afterRestart }) => ({ to, preVote, afterRestart })),
     ['b', 'c'].map((to) => ({ to, preVote: true, afterRestart: true })),
   );
   harness.receiveLeaderlessAnswer('b', true);
--- a/packages/kumquatfront/src/consensus/replica.ts
+++ b/packages/kumquatfront/src/consensus/replica.ts
@@ -187,6 +187,7 @@
     );
   }
 
+  /** The current leader, which may be this replica; undefined if none is known. */
   leader(): types.Member | undefined {
     return this.options.store.members().find((member) => member.identity === this.leaderIdentity);
   }
@@ -240,6 +241,7 @@
     return this.leadership?.progressOf(identity);
   }
 
+  /** Current state of this replica. */
   status(): types.ReplicaStatus {
     const { store } = this.options;
     return {
--- a/packages/kumquatfront/src/consensus/replicaTestHarness.ts
+++ b/packages/kumquatfront/src/consensus/replicaTestHarness.ts
@@ -11,6 +11,7 @@
 
 /** Identity of the test cluster. */
 export const CLUSTER = 'cluster';
+/** Election timeout of the replica, in milliseconds. */
 export const ELECTION_TIMEOUT = 1_000;
 
 /** A voter whose name and address are its identity. */
@@ -80,6 +81,7 @@
     };
   }
 
+  /** Advances the clock and runs the timers that are due. */
   advance(duration: number): void {
     this.now += duration;
     for (const timer of this.timers.splice(0)) {
@@ -91,6 +93,7 @@
     }
   }
 
+  /** Requests a vote for `b` and returns whether it was granted. */
   requestVote(term: number, lastIndex: number, lastTerm: number, afterRestart = false): boolean {
     this.replica.receive({
       ...{ type: 'voteRequest', preVote: false, clusterIdentity: CLUSTER, from: 'b', to: 'a' },
@@ -100,6 +103,7 @@
     return answer?.type === 'voteAnswer' && answer.granted;
   }
 
+  /** Delivers a heartbeat of the leader `c`. */
   heartbeat(term: number): void {
     this.replica.receive({
       ...{ type: 'appendRequest', clusterIdentity: CLUSTER, from: 'c', to: 'a', term },
@@ -151,6 +155,7 @@
     return last?.type === 'appendRequest' ? last.round : 0;
   }
 
+  /** Delivers a successful append answer of `b`, by default to the last message sent. */
   acknowledge(matchIndex: number, answeredRound?: number): void {
     const { term } = this.store.hardState;
     const address = { clusterIdentity: CLUSTER, from: 'b', to: 'a', term };
