--- a/packages/kumquatfront/src/backPressure/rateLimitShare.spec.ts
+++ b/packages/kumquatfront/src/backPressure/rateLimitShare.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Shares of a rate limit among entries that cannot ask each other: the bound holds, and little of the limit is left over.
+ * Shares of a rate limit among uncoordinated entries: the limit is kept, and most of it is used.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -10,24 +10,24 @@
 import * as entryShare from '../warmUp/entryShare.js';
 import * as rateLimitShare from './rateLimitShare.js';
 
-/** The promise to upstreams: what may arrive in any four seconds. */
-const JUDGED_WINDOW = 4_000;
+/** Window in which an upstream measures its rate. */
+const MEASURED_WINDOW = 4_000;
 
 function allowedBy(perSecond: number): number {
-  return 1.5 * perSecond * (JUDGED_WINDOW / 1_000) + 5;
+  return 1.5 * perSecond * (MEASURED_WINDOW / 1_000) + 5;
 }
 
-/** Every entry sends whenever it may, at moments of its own; gives the moments at which requests arrive, in order. */
+/** Sends from every entry whenever its share permits; returns the sorted arrival times. */
 function sendAll(entryCount: number, perSecond: number, seed: number): readonly number[] {
   const random = seededRandom.create(seed);
-  const ofAll = rateLimitShare.ofEntries(perSecond, entryCount);
+  const totalPerWindow = rateLimitShare.requestsPerWindow(perSecond, entryCount);
   const times: number[] = [];
   for (let index = 0; index < entryCount; index += 1) {
     const share = new entryShare.EntryShare(`edge-${index}`, () => entryCount, rateLimitShare.RATE_WINDOW);
     for (let now = random.next() * 300; now < 12_000; now += random.next() * 200) {
-      if (share.maySend(`i-${seed}`, ofAll, now)) {
-        share.sentTo(`i-${seed}`, now);
-        // Travels for up to half a second.
+      if (share.maySend(`i-${seed}`, totalPerWindow, now)) {
+        share.recordSent(`i-${seed}`, now);
+        // Transit time of up to half a second.
         times.push(now + random.next() * 500);
       }
     }
@@ -35,11 +35,11 @@
   return times.sort((left, right) => left - right);
 }
 
-function mostInWindow(times: readonly number[]): number {
+function maxInWindow(times: readonly number[]): number {
   let most = 0;
   let first = 0;
   for (const [index, time] of times.entries()) {
-    while (time - (times[first] ?? time) >= JUDGED_WINDOW) {
+    while (time - (times[first] ?? time) >= MEASURED_WINDOW) {
       first += 1;
     }
     most = Math.max(most, index - first + 1);
@@ -47,18 +47,18 @@
   return most;
 }
 
-void test.test('any number of entries keeps any limit', () => {
+void test.test('any number of entries keeps within any limit', () => {
   const limits = fastCheck.double({ min: 0, max: 40, noNaN: true });
   const entryCounts = fastCheck.integer({ min: 1, max: 200 });
   fastCheck.assert(
     fastCheck.property(limits, entryCounts, fastCheck.integer(), (perSecond, count, seed) => {
-      assert.ok(mostInWindow(sendAll(count, perSecond, seed)) <= allowedBy(perSecond));
+      assert.ok(maxInWindow(sendAll(count, perSecond, seed)) <= allowedBy(perSecond));
     }),
     { seed: 7, numRuns: 80 },
   );
 });
 
-void test.test('few entries use most of a limit, many of them a good part', () => {
+void test.test('few entries use most of a limit, many entries a substantial part', () => {
   for (const [entryCount, perSecond, least] of [
     [1, 2, 0.8],
     [7, 1.9, 0.8],
@@ -66,7 +66,7 @@
     [75, 2, 0.35],
     [191, 30, 0.7],
   ] as const) {
-    const ofAll = rateLimitShare.ofEntries(perSecond, entryCount);
+    const ofAll = rateLimitShare.requestsPerWindow(perSecond, entryCount);
     const used = ofAll / (perSecond * (rateLimitShare.RATE_WINDOW / 1_000));
     assert.ok(used >= least && used <= 1, `${entryCount} entries use ${used} of ${perSecond} a second`);
   }
--- a/packages/kumquatfront/src/backPressure/rateLimitShare.ts
+++ b/packages/kumquatfront/src/backPressure/rateLimitShare.ts
@@ -1,74 +1,73 @@
 /**
- * How a rate limit that an upstream names for all its senders is divided among entries that cannot ask each other.
+ * Divides the rate limit that an upstream sets for all senders among entries, without coordination between them.
  *
- * Failure: each entry that hears of the limit keeps the whole of it. Seven entries then send seven times what the
- * upstream takes, and two hundred of them run it down with one request each.
+ * Guards against each entry using the full limit, so that all entries together exceed it many times over.
  */
 import type * as ports from '../kernel/ports.js';
 
 /**
- * Entries count what they send over windows of this length. Upstreams tolerate bursts within four seconds; half a second
- * more covers requests that travel for longer than the one before.
+ * Length of the sliding window in which entries count sent requests: the window of the upstream, and a margin for
+ * variations of the transit time.
  */
 export const RATE_WINDOW: ports.Milliseconds = 4_500;
 
-/** Seconds over which an upstream judges its rate, and what it tolerates in them: rate x overshoot + spare requests. */
-const JUDGED_SECONDS = 4;
+/** Window in which an upstream measures its rate, and what it tolerates there: limit x overshoot + burst allowance. */
+const MEASURED_SECONDS = 4;
 const OVERSHOOT = 1.5;
-const SPARE_REQUESTS = 5;
+const BURST_ALLOWANCE = 5;
 
-/** Of the spare requests, as many as entries may send to find out whether the limit is over. */
-const KEPT_FOR_PROBES = 2;
+/** Part of the burst allowance reserved for probes that find out whether the limit was lifted. */
+const PROBE_RESERVE = 2;
 
 /**
- * Shares that are no whole number are drawn, so that their sum varies like a count of rare events. It stays inside the
- * bound by this many standard deviations: less than one draw in a million passes it.
+ * Fractional shares are assigned pseudo-randomly, so their sum varies. It stays below the bound by this many standard
+ * deviations; the probability of exceeding it is less than one in a million.
  */
-const DEVIATIONS = 5;
+const MARGIN_DEVIATIONS = 5;
 
 /**
- * Time between two requests of all entries together that find out whether a limit is over, where no entry has a share.
+ * Average time between two probes of all entries together, while no entry has a share of the limit.
  */
-const PROBE_GAP: ports.Milliseconds = 18_000;
+const PROBE_SPACING: ports.Milliseconds = 18_000;
 
-/** The most that entries send together, where each has the whole part of its share and draws for the rest. */
-function mostOf(mean: number, entries: number): number {
-  const part = (mean / entries) % 1;
-  const deviation = Math.sqrt(entries * part * (1 - part));
-  const allDrawn = entries * Math.ceil(mean / entries);
-  return Math.min(allDrawn, mean + DEVIATIONS * deviation);
+/** Upper bound of the requests of all entries, where each rounds its share up or down at random. */
+function maxTotal(mean: number, entries: number): number {
+  const fraction = (mean / entries) % 1;
+  const deviation = Math.sqrt(entries * fraction * (1 - fraction));
+  const allRoundedUp = entries * Math.ceil(mean / entries);
+  return Math.min(allRoundedUp, mean + MARGIN_DEVIATIONS * deviation);
 }
 
 /**
- * Requests that all entries together may send within `RATE_WINDOW`, in the mean of their draws.
+ * Number of requests that all entries together may send within `RATE_WINDOW`, as the expected value of their shares.
  *
- * @param perSecond - the limit, requests a second
- * @param entries - how many entries share it, 1 or more
- * @returns the mean, at most what the limit allows
+ * @param perSecond - rate limit in requests per second
+ * @param entries - number of entries that share it, 1 or more
+ * @returns the expected value, at most what the limit allows
  * @example
  * ```ts
- * rateLimitShare.ofEntries(1.9, 7); // 7.6: one each, and every eleventh two
- * rateLimitShare.ofEntries(2, 75); // 3.9
+ * rateLimitShare.requestsPerWindow(1.9, 7); // 7.6: one for each entry, and a second one for some
+ * rateLimitShare.requestsPerWindow(2, 75); // 3.9
  * ```
  */
-export function ofEntries(perSecond: number, entries: number): number {
-  const allowed = perSecond * JUDGED_SECONDS;
-  const bound = OVERSHOOT * allowed + SPARE_REQUESTS - KEPT_FOR_PROBES;
-  const root = (Math.sqrt(DEVIATIONS ** 2 + 4 * bound) - DEVIATIONS) / 2;
+export function requestsPerWindow(perSecond: number, entries: number): number {
+  const allowed = perSecond * MEASURED_SECONDS;
+  const bound = OVERSHOOT * allowed + BURST_ALLOWANCE - PROBE_RESERVE;
+  const root = (Math.sqrt(MARGIN_DEVIATIONS ** 2 + 4 * bound) - MARGIN_DEVIATIONS) / 2;
   const means = [allowed, entries * Math.floor(allowed / entries), Math.min(allowed, root ** 2)];
-  return Math.max(...means.filter((mean) => mostOf(mean, entries) <= bound));
+  return Math.max(...means.filter((mean) => maxTotal(mean, entries) <= bound));
 }
 
 /**
- * Time after which one entry may find out by a request whether a limit is over.
+ * Time between two probes of one entry that find out whether a rate limit was lifted.
  *
- * @param entries - how many entries share the limit
- * @returns so long that all of them together do so once in `PROBE_GAP`
+ * @param entries - number of entries that share the limit
+ * @returns an interval that gives one probe per `PROBE_SPACING` from all entries together
  * @example
  * ```ts
- * rateLimitShare.probeAfter(7); // 126000
+ * rateLimitShare.probeInterval(7); // 126000
  * ```
  */
-export function probeAfter(entries: number): ports.Milliseconds {
-  return entries * PROBE_GAP;
+export function probeInterval(entries: number): ports.Milliseconds {
+  return entries * PROBE_SPACING;
 }
--- a/packages/kumquatfront/src/backPressure/sendRules.spec.ts
+++ b/packages/kumquatfront/src/backPressure/sendRules.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Whoever chooses an upstream, and whoever sends, asks the same rules.
+ * Selection of upstreams and sending both respect temporary exclusions.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -19,111 +19,115 @@
 import * as signalBook from './signalBook.js';
 import type * as types from './types.js';
 
-const quiet: types.UpstreamSignals = { leaving: false, unreadable: [] };
+const noSignals: types.UpstreamSignals = { leaving: false, unreadable: [] };
 
-/** An upstream of the bench says something of itself. */
-function say(bench: relayBench.RelayBench, identity: string, signals: types.UpstreamSignals): void {
-  const instance = bench.context.instances.get(identity);
+/** Delivers an answer with back-pressure signals from an upstream of the harness. */
+function deliverSignals(
+  harness: relayBench.RelayBench,
+  identity: string,
+  signals: types.UpstreamSignals,
+): void {
+  const instance = harness.context.instances.get(identity);
   assert.ok(instance);
-  const { request } = bench.routed('stream');
+  const { request } = harness.routed('stream');
   const nothing = (): void => undefined;
   const listener = { head: nothing, data: nothing, end: nothing, failed: nothing };
-  bench.context.upstreams.send({ request, instance, timeLeft: 1_000 }, listener);
-  bench.sent.pop()?.listener.head({ ...relayBench.soundHead, signals });
+  harness.context.upstreams.send({ request, instance, timeLeft: 1_000 }, listener);
+  harness.sent.pop()?.listener.head({ ...relayBench.soundHead, signals });
 }
 
-void test.test('a question for a place names the engines that may be sent nothing', () => {
-  const bench = new relayBench.RelayBench(['a', 'b']);
-  say(bench, 'a', { ...quiet, rateLimit: 0 });
-  new streamExchange.StreamExchange(bench.context, bench.routed('stream')).start();
-  assert.deepEqual(bench.asked[0]?.excluded, ['a']);
+void test.test('a placement request lists the excluded engines', () => {
+  const harness = new relayBench.RelayBench(['a', 'b']);
+  deliverSignals(harness, 'a', { ...noSignals, rateLimit: 0 });
+  new streamExchange.StreamExchange(harness.context, harness.routed('stream')).start();
+  assert.deepEqual(harness.asked[0]?.excluded, ['a']);
 });
 
-void test.test('a generation is refused at once where no engine may be sent anything', () => {
-  const bench = new relayBench.RelayBench(['a']);
-  say(bench, 'a', { ...quiet, rateLimit: 0 });
-  new streamExchange.StreamExchange(bench.context, bench.routed('stream')).start();
-  assert.deepEqual(bench.got, ['refused overloaded']);
-  assert.equal(bench.asked.length, 0);
+void test.test('a generation is refused immediately if every engine is excluded', () => {
+  const harness = new relayBench.RelayBench(['a']);
+  deliverSignals(harness, 'a', { ...noSignals, rateLimit: 0 });
+  new streamExchange.StreamExchange(harness.context, harness.routed('stream')).start();
+  assert.deepEqual(harness.got, ['refused overloaded']);
+  assert.equal(harness.asked.length, 0);
 });
 
-// The source stops with the last copy: a generation that is not sent on then is lost.
-void test.test('a generation is not moved to an engine that may be sent nothing', () => {
-  const bench = new relayBench.RelayBench(['a', 'b']);
-  bench.places.push('a');
-  new streamExchange.StreamExchange(bench.context, bench.routed('stream')).start();
-  bench.sent[0]?.listener.head(relayBench.soundHead);
-  bench.sent[0]?.listener.data(relayBench.event(1));
-  say(bench, 'b', { ...quiet, rateLimit: 0 });
-  assert.equal(bench.move('a', 'b').outcome, 'failed');
-  assert.equal(bench.copies.length, 0);
+// The source stops with the last copy, so a generation that could not be sent afterwards would be lost.
+void test.test('a generation is not moved to an excluded engine', () => {
+  const harness = new relayBench.RelayBench(['a', 'b']);
+  harness.places.push('a');
+  new streamExchange.StreamExchange(harness.context, harness.routed('stream')).start();
+  harness.sent[0]?.listener.head(relayBench.soundHead);
+  harness.sent[0]?.listener.data(relayBench.event(1));
+  deliverSignals(harness, 'b', { ...noSignals, rateLimit: 0 });
+  assert.equal(harness.move('a', 'b').outcome, 'failed');
+  assert.equal(harness.copies.length, 0);
 });
 
-void test.test('a call goes elsewhere, or hears when to come back', () => {
-  const bench = new relayBench.RelayBench(['a', 'b']);
-  say(bench, 'a', { ...quiet, rateLimit: 0.25 });
-  new plainExchange.PlainExchange(bench.context, bench.routed('nonIdempotent')).start();
-  assert.equal(bench.sent[0]?.call.instance.identity, 'b');
-  say(bench, 'b', { ...quiet, rateLimit: 0.25 });
-  new plainExchange.PlainExchange(bench.context, bench.routed('nonIdempotent')).start();
-  assert.equal(bench.sent.length, 1);
-  const refusal = bench.refusals[0];
+void test.test('a call is sent to another upstream, or refused with a retry time', () => {
+  const harness = new relayBench.RelayBench(['a', 'b']);
+  deliverSignals(harness, 'a', { ...noSignals, rateLimit: 0.25 });
+  new plainExchange.PlainExchange(harness.context, harness.routed('nonIdempotent')).start();
+  assert.equal(harness.sent[0]?.call.instance.identity, 'b');
+  deliverSignals(harness, 'b', { ...noSignals, rateLimit: 0.25 });
+  new plainExchange.PlainExchange(harness.context, harness.routed('nonIdempotent')).start();
+  assert.equal(harness.sent.length, 1);
+  const refusal = harness.refusals[0];
   assert.equal(refusal?.message, 'every upstream that could take it is at its rate limit');
   assert.ok((refusal.retryAfter ?? 0) >= rateLimitShare.RATE_WINDOW);
 });
 
-// The coordinator does not know yet; the exchange learns that nothing was sent, and goes elsewhere.
-void test.test('nothing is sent to an engine that has given notice meanwhile', () => {
-  const bench = new relayBench.RelayBench(['a', 'b']);
-  new streamExchange.StreamExchange(bench.context, bench.routed('stream')).start();
-  bench.places.push('a', 'b');
-  say(bench, 'a', { ...quiet, leaving: true });
-  new streamExchange.StreamExchange(bench.context, bench.routed('stream')).start();
-  bench.time.advance(10);
+// The coordinator does not know yet; the exchange learns that nothing was sent and uses another engine.
+void test.test('nothing is sent to an engine that has announced its shutdown since it was chosen', () => {
+  const harness = new relayBench.RelayBench(['a', 'b']);
+  new streamExchange.StreamExchange(harness.context, harness.routed('stream')).start();
+  harness.places.push('a', 'b');
+  deliverSignals(harness, 'a', { ...noSignals, leaving: true });
+  new streamExchange.StreamExchange(harness.context, harness.routed('stream')).start();
+  harness.time.advance(10);
   assert.deepEqual(
-    bench.sent.map(({ call }) => call.instance.identity),
+    harness.sent.map(({ call }) => call.instance.identity),
     ['b'],
   );
 });
 
-// Its source has stopped: not sent on, the generation would be lost.
-void test.test('a generation goes on from its copy at an engine that has asked for a pause meanwhile', () => {
-  const bench = new relayBench.RelayBench(['a', 'b']);
-  bench.places.push('a');
-  new streamExchange.StreamExchange(bench.context, bench.routed('stream')).start();
-  bench.sent[0]?.listener.head(relayBench.soundHead);
-  bench.sent[0]?.listener.data(relayBench.event(1));
-  bench.move('a', 'b');
-  bench.copies[0]?.done({ state: 'copied', handle: 'first' });
-  bench.sent[0]?.listener.failed('broken', 'stopped');
-  say(bench, 'b', { ...quiet, pause: 3_000 });
-  bench.copies[1]?.done({ state: 'copied', handle: 'last' });
-  assert.equal(bench.sent[1]?.call.instance.identity, 'b');
+// The source has stopped, so the generation would be lost otherwise.
+void test.test('a generation resumes from its copy on an engine that has asked for a pause since', () => {
+  const harness = new relayBench.RelayBench(['a', 'b']);
+  harness.places.push('a');
+  new streamExchange.StreamExchange(harness.context, harness.routed('stream')).start();
+  harness.sent[0]?.listener.head(relayBench.soundHead);
+  harness.sent[0]?.listener.data(relayBench.event(1));
+  harness.move('a', 'b');
+  harness.copies[0]?.done({ state: 'copied', handle: 'first' });
+  harness.sent[0]?.listener.failed('broken', 'stopped');
+  deliverSignals(harness, 'b', { ...noSignals, pause: 3_000 });
+  harness.copies[1]?.done({ state: 'copied', handle: 'last' });
+  assert.equal(harness.sent[1]?.call.instance.identity, 'b');
 });
 
 void test.test(
-  'of several pauses the one that ends last counts, and none is longer than half a minute',
+  'of several pauses the one that ends last applies, and none is longer than half a minute',
   () => {
-    const bench = new relayBench.RelayBench(['a']);
-    const { rules, instances, timers } = bench.context;
+    const harness = new relayBench.RelayBench(['a']);
+    const { rules, instances, timers } = harness.context;
     const instance = instances.get('a');
     assert.ok(instance);
-    say(bench, 'a', { ...quiet, pause: 2_000 });
-    bench.time.advance(100);
-    bench.context.upstreams.send(
-      { request: bench.routed('stream').request, instance, timeLeft: 1_000 },
+    deliverSignals(harness, 'a', { ...noSignals, pause: 2_000 });
+    harness.time.advance(100);
+    harness.context.upstreams.send(
+      { request: harness.routed('stream').request, instance, timeLeft: 1_000 },
       { head: () => undefined, data: () => undefined, end: () => undefined, failed: () => undefined },
     );
     assert.equal(rules.holdOf(instance, timers.now())?.until, 2_000);
-    bench.time.advance(1_900);
+    harness.time.advance(1_900);
     assert.equal(rules.holdOf(instance, timers.now()), undefined);
-    say(bench, 'a', { ...quiet, pause: 31_536_000_000 });
+    deliverSignals(harness, 'a', { ...noSignals, pause: 31_536_000_000 });
     assert.equal(rules.holdOf(instance, timers.now())?.until, 32_000);
   },
 );
 
-/** The rules of one of many entries, before an upstream that names a limit. */
-function rulesOf(entry: string, entryCount: number, time: virtualTime.VirtualTime): sendRules.SendRules {
+/** Creates the send policy of one of many entries, where every upstream has a rate limit of 0. */
+function createPolicy(entry: string, entryCount: number, time: virtualTime.VirtualTime): sendRules.SendRules {
   const nothing = (): void => undefined;
   const view = new instanceView.InstanceView(nothing);
   return new sendRules.SendRules({
@@ -144,17 +148,17 @@
   });
 }
 
-// A limit of nothing leaves no entry a share: none would hear that it is over.
-void test.test('entries without a share find out now and then whether a limit is over', () => {
+// With a limit of 0 no entry has a share, so none would learn that the limit was lifted.
+void test.test('entries without a share probe occasionally whether a limit was lifted', () => {
   const time = new virtualTime.VirtualTime();
   const instance = { ...instanceBench.announcement('a'), firstAt: 0, coldUntil: 0 };
   const ENTRIES = 75;
-  const all = Array.from({ length: ENTRIES }, (_, index) => rulesOf(`edge-${index}`, ENTRIES, time));
+  const all = Array.from({ length: ENTRIES }, (_, index) => createPolicy(`edge-${index}`, ENTRIES, time));
   const probes: number[] = [];
   for (let second = 0; second < 600; second += 1) {
     for (const rules of all) {
       if (rules.holdOf(instance, time.now()) === undefined) {
-        rules.sentTo(instance, time.now());
+        rules.recordSent(instance, time.now());
         probes.push(time.now());
       }
     }
--- a/packages/kumquatfront/src/backPressure/sendRules.ts
+++ b/packages/kumquatfront/src/backPressure/sendRules.ts
@@ -1,7 +1,6 @@
 /**
- * The one place that says whether an upstream may be sent something at this moment, whatever the reason. The choice of an
- * upstream and the search for a place ask it, so that nobody goes on choosing what will not be sent; the gate before all
- * upstreams asks it again, since an upstream picked a moment ago may be held by now.
+ * Decides whether an upstream may be sent a request now, or is temporarily excluded. Used when an upstream is chosen,
+ * and again by `guardedUpstreams` immediately before sending, since an exclusion may have started in between.
  */
 import * as instanceView from '../instances/instanceView.js';
 import type * as ports from '../kernel/ports.js';
@@ -10,61 +9,61 @@
 import * as rateLimitShare from './rateLimitShare.js';
 import type * as signalBook from './signalBook.js';
 
-/** Why an upstream is sent nothing. */
-export type HoldReason = 'evacuated' | 'leaving' | 'paused' | 'rateLimited' | 'cold';
+/** Reason for which an upstream is temporarily excluded. */
+export type ExclusionReason = 'evacuated' | 'leaving' | 'paused' | 'rateLimited' | 'cold';
 
-/** An upstream is sent nothing until a moment, as far as is known. */
-export interface Hold {
-  readonly reason: HoldReason;
-  /** Undefined where nobody knows. */
+/** A temporary exclusion of an upstream. */
+export interface Exclusion {
+  readonly reason: ExclusionReason;
+  /** Expected end; undefined if unknown. */
   readonly until?: ports.Milliseconds;
 }
 
-/** What callers are told where one of these keeps a request from every upstream. */
-const MESSAGES: Readonly<Record<HoldReason, string>> = {
+/** Error messages for callers whose request was refused because every upstream is excluded. */
+const MESSAGES: Readonly<Record<ExclusionReason, string>> = {
   evacuated: instanceView.EVACUATED,
-  leaving: 'every upstream that could take it is leaving',
+  leaving: 'every upstream that could take it is shutting down',
   paused: 'every upstream that could take it has asked for a pause',
   rateLimited: 'every upstream that could take it is at its rate limit',
-  cold: 'every upstream that could take it is cold and gets as much as it tolerates',
+  cold: 'every upstream that could take it is cold and at its warm-up limit',
 };
 
 /**
- * Callers that are turned away together come back within this time of the end of the hold, not all at its end: the
- * upstream would turn most of them away again.
+ * Jitter added to the retry time of refused callers, so that they do not all return at the end of the exclusion and
+ * overload the upstream again.
  */
-const RETURN_SPREAD: ports.Milliseconds = 500;
+const RETRY_JITTER: ports.Milliseconds = 500;
 
-/** Range of the hash by which entries that probe are spread over time. */
+/** Range of the hash that spreads the probes of entries over time. */
 const HASH_RANGE = 2 ** 32;
 
-/** What the rules are made from. */
-export interface SendRulesOptions {
+/** Dependencies of the policy. */
+export interface SendPolicyOptions {
   /** Name of this entry. */
   readonly entry: string;
   readonly random: ports.Random;
   readonly instances: instanceView.InstanceView;
   readonly signals: signalBook.SignalBook;
-  /** This entry's share of what rate-limited upstreams take, over `rateLimitShare.RATE_WINDOW`. */
+  /** Share of this entry in the limits of rate-limited upstreams, over `rateLimitShare.RATE_WINDOW`. */
   readonly rateShare: entryShare.EntryShare;
-  /** This entry's share of what cold upstreams tolerate, over a second. */
+  /** Share of this entry in the warm-up limits of cold upstreams, over one second. */
   readonly coldShare: entryShare.EntryShare;
-  /** Requests a second that all entries together may send to a cold upstream of a service; undefined for any. */
+  /** Requests per second that all entries together may send to a cold upstream of a service; undefined if unlimited. */
   readonly toleratedBy: (service: string) => number | undefined;
 }
 
-/** The rules; see the module comment. */
+/** Decides whether upstreams may be sent requests; see the module comment. */
 export class SendRules {
-  private readonly options: SendRulesOptions;
-  /** When this entry may find out next whether a rate limit is over. */
-  private readonly probeAt = new Map<string, ports.Milliseconds>();
+  private readonly options: SendPolicyOptions;
+  /** Time of the next probe of this entry for a lifted rate limit, by upstream. */
+  private readonly nextProbeAt = new Map<string, ports.Milliseconds>();
 
-  constructor(options: SendRulesOptions) {
+  constructor(options: SendPolicyOptions) {
     this.options = options;
   }
 
-  /** Why an upstream must not be sent anything, whoever has chosen it; undefined where it may. */
-  holdOf(instance: instanceView.Instance, now: ports.Milliseconds): Hold | undefined {
+  /** Exclusion that applies to every send to an upstream, whoever chose it; undefined if requests may be sent. */
+  holdOf(instance: instanceView.Instance, now: ports.Milliseconds): Exclusion | undefined {
     const { instances, signals } = this.options;
     if (instances.isEvacuated(instance)) {
       return { reason: 'evacuated' };
@@ -76,105 +75,110 @@
     if (now < pausedUntil) {
       return { reason: 'paused', until: pausedUntil };
     }
-    return this.rateHoldOf(instance, now);
+    return this.rateLimitExclusionOf(instance, now);
   }
 
   /**
-   * Why this entry must not choose an upstream by itself; undefined where it may. What a coordinator places on a cold
-   * upstream is counted by the coordinator.
+   * Exclusion that applies when this entry chooses an upstream itself; undefined if it may be chosen. Includes the
+   * warm-up limit, which the coordinator enforces for the requests that it places.
    */
-  holdOfChoice(instance: instanceView.Instance, now: ports.Milliseconds): Hold | undefined {
-    return this.holdOf(instance, now) ?? this.coldHoldOf(instance, now);
+  holdOfChoice(instance: instanceView.Instance, now: ports.Milliseconds): Exclusion | undefined {
+    return this.holdOf(instance, now) ?? this.warmUpExclusionOf(instance, now);
   }
 
   /**
-   * The hold that ends first, where every upstream of some is held.
+   * The exclusion that ends first, if every candidate is excluded.
    *
-   * @param candidates - the upstreams
-   * @param now - the moment
-   * @returns the hold; undefined where one of them may be chosen, or there are none
+   * @param candidates - upstreams to choose from
+   * @param now - current time
+   * @returns the exclusion; undefined if a candidate may be chosen, or there are none
    */
-  holdOfAll(candidates: readonly instanceView.Instance[], now: ports.Milliseconds): Hold | undefined {
-    let first: Hold | undefined;
+  holdOfAll(candidates: readonly instanceView.Instance[], now: ports.Milliseconds): Exclusion | undefined {
+    let first: Exclusion | undefined;
     for (const instance of candidates) {
-      const hold = this.holdOfChoice(instance, now);
-      if (hold === undefined) {
+      const exclusion = this.holdOfChoice(instance, now);
+      if (exclusion === undefined) {
         return undefined;
       }
       const endsSooner =
-        (hold.until ?? Number.POSITIVE_INFINITY) < (first?.until ?? Number.POSITIVE_INFINITY);
-      first = first === undefined || endsSooner ? hold : first;
+        (exclusion.until ?? Number.POSITIVE_INFINITY) < (first?.until ?? Number.POSITIVE_INFINITY);
+      first = first === undefined || endsSooner ? exclusion : first;
     }
     return first;
   }
 
-  /** What a caller is told of a hold. */
-  messageOf({ reason }: Hold): string {
+  /** Error message for a caller refused because of an exclusion. */
+  messageOf({ reason }: Exclusion): string {
     return MESSAGES[reason];
   }
 
   /**
-   * When a caller should come back that was turned away because of a hold.
+   * Time after which a caller refused because of an exclusion should retry.
    *
-   * @param hold - the hold
-   * @param now - the moment
-   * @param unknown - time that is told where nobody knows when the hold ends
+   * @param exclusion - reason and expected end
+   * @param now - current time
+   * @param unknown - returned if the end of the exclusion is unknown
    */
-  retryAfter({ until }: Hold, now: ports.Milliseconds, unknown: ports.Milliseconds): ports.Milliseconds {
-    return until === undefined ? unknown : until - now + this.options.random.next() * RETURN_SPREAD;
+  retryAfter({ until }: Exclusion, now: ports.Milliseconds, unknown: ports.Milliseconds): ports.Milliseconds {
+    return until === undefined ? unknown : until - now + this.options.random.next() * RETRY_JITTER;
   }
 
-  /** Notes a request that goes to an upstream, so that it counts against what that takes. */
-  sentTo(instance: instanceView.Instance, now: ports.Milliseconds): void {
+  /** Counts a request sent to an upstream against its limits. */
+  recordSent(instance: instanceView.Instance, now: ports.Milliseconds): void {
     const { rateShare, coldShare } = this.options;
     const { identity } = instance;
-    // Counted for all upstreams: a limit that is named later holds for what was sent shortly before, too.
-    rateShare.sentTo(identity, now);
+    // Counted for all upstreams, because a rate limit received later also covers requests sent shortly before.
+    rateShare.recordSent(identity, now);
     if (now < instance.coldUntil) {
-      coldShare.sentTo(identity, now);
+      coldShare.recordSent(identity, now);
     }
-    if (this.probeAt.has(identity)) {
-      this.probeAt.set(identity, now + rateLimitShare.probeAfter(rateShare.entriesAt(now)));
+    if (this.nextProbeAt.has(identity)) {
+      this.nextProbeAt.set(identity, now + rateLimitShare.probeInterval(rateShare.entryCountAt(now)));
     }
   }
 
-  /** Forgets an upstream that is gone, or has started anew. */
+  /** Discards the state of an upstream that was removed or has restarted. */
   forget(identity: string): void {
-    this.probeAt.delete(identity);
+    this.nextProbeAt.delete(identity);
   }
 
-  private rateHoldOf(instance: instanceView.Instance, now: ports.Milliseconds): Hold | undefined {
+  private rateLimitExclusionOf(
+    instance: instanceView.Instance,
+    now: ports.Milliseconds,
+  ): Exclusion | undefined {
     const { signals, rateShare } = this.options;
     const { identity } = instance;
     const perSecond = signals.rateLimitOf(identity);
     if (perSecond === undefined) {
-      this.probeAt.delete(identity);
+      this.nextProbeAt.delete(identity);
       return undefined;
     }
-    const entries = rateShare.entriesAt(now);
-    const ofAll = entries === 0 ? 0 : rateLimitShare.ofEntries(perSecond, entries);
-    if (rateShare.maySend(identity, ofAll, now) || this.mayProbe(identity, entries, now)) {
+    const entries = rateShare.entryCountAt(now);
+    const totalPerWindow = entries === 0 ? 0 : rateLimitShare.requestsPerWindow(perSecond, entries);
+    if (rateShare.maySend(identity, totalPerWindow, now) || this.mayProbe(identity, entries, now)) {
       return undefined;
     }
-    const until = rateShare.maySendAt(identity, ofAll, now) ?? now + rateLimitShare.RATE_WINDOW;
+    const until = rateShare.nextSendAt(identity, totalPerWindow, now) ?? now + rateLimitShare.RATE_WINDOW;
     return { reason: 'rateLimited', until };
   }
 
-  /** An entry without a share would never hear that the limit is over. */
+  /**
+   * Lets an entry without a share send an occasional probe; it would never learn that the limit was lifted otherwise.
+   */
   private mayProbe(identity: string, entries: number, now: ports.Milliseconds): boolean {
     if (entries === 0) {
       return false;
     }
-    const known = this.probeAt.get(identity);
-    if (known !== undefined) {
-      return now >= known;
+    const nextProbe = this.nextProbeAt.get(identity);
+    if (nextProbe !== undefined) {
+      return now >= nextProbe;
     }
     const spread = rendezvous.hash(`${identity} ${this.options.entry}`) / HASH_RANGE;
-    this.probeAt.set(identity, now + spread * rateLimitShare.probeAfter(entries));
+    this.nextProbeAt.set(identity, now + spread * rateLimitShare.probeInterval(entries));
     return false;
   }
 
-  private coldHoldOf(instance: instanceView.Instance, now: ports.Milliseconds): Hold | undefined {
+  private warmUpExclusionOf(instance: instanceView.Instance, now: ports.Milliseconds): Exclusion | undefined {
     const { coldShare, toleratedBy } = this.options;
     const { identity, coldUntil, service } = instance;
     const tolerated = now < coldUntil ? toleratedBy(service) : undefined;
@@ -183,7 +187,7 @@
     }
     return {
       reason: 'cold',
-      until: Math.min(coldUntil, coldShare.maySendAt(identity, tolerated, now) ?? coldUntil),
+      until: Math.min(coldUntil, coldShare.nextSendAt(identity, tolerated, now) ?? coldUntil),
     };
   }
 }
--- a/packages/kumquatfront/src/backPressure/signalBook.ts
+++ b/packages/kumquatfront/src/backPressure/signalBook.ts
@@ -1,65 +1,63 @@
 /**
- * What upstreams have told this entry about how much they want to be sent.
+ * State of the back-pressure signals (pauses and rate limits) that this entry has received from upstreams.
  */
 import type * as instanceView from '../instances/instanceView.js';
 import type * as ports from '../kernel/ports.js';
 import type * as timerService from '../kernel/timerService.js';
 import type * as types from './types.js';
 
-/** No upstream is left alone for longer because of one answer, whatever that says. */
-const LONGEST_PAUSE: ports.Milliseconds = 30_000;
+/** Upper bound of the pause that one answer can request. */
+const MAX_PAUSE: ports.Milliseconds = 30_000;
 
-/** How often pauses that are over are let go. */
 const EXPIRY_INTERVAL: ports.Milliseconds = 1_000;
 
 /**
- * What an upstream said is kept this long after control has dropped it: behind a cut an upstream that is well is dropped,
- * and is back with all that it has said.
+ * How long signals are kept after control has dropped an upstream; a network partition may drop a healthy upstream that
+ * returns with its limits unchanged.
  */
-const GONE_KEPT: ports.Milliseconds = 60_000;
+const GONE_RETENTION: ports.Milliseconds = 60_000;
 
-/** Upstreams whose unreadable signals are remembered, so that each is logged once. */
-const MOST_UNREADABLE = 1_000;
+/** Maximum number of unreadable signals remembered to log each only once; further ones are not logged. */
+const MAX_UNREADABLE = 1_000;
 
 /**
- * Limits that differ by less than this share are alike: an upstream may name another one with every answer, which is no
- * reason to log or to tell others of each.
+ * Relative difference up to which two limits count as equal, so that small fluctuations are not logged or published.
  */
-const ALIKE_WITHIN = 0.1;
+const SIMILARITY_TOLERANCE = 0.1;
 
-/** Shortest time between two tellings of one upstream's limit. */
-const TELL_PAUSE: ports.Milliseconds = 2_000;
+/** Minimum time between two publications of the limit of one upstream. */
+const MIN_PUBLISH_INTERVAL: ports.Milliseconds = 2_000;
 
-/** What the book is made from. */
-export interface SignalBookOptions {
+/** Dependencies and callbacks of the registry. */
+export interface SignalRegistryOptions {
   readonly timers: timerService.TimerService;
   readonly log: ports.Log;
   readonly metrics: ports.Metrics;
-  /** Takes in that an upstream leaves; true where that is news. */
+  /** Records the termination notice of an upstream; returns true if it was not known before. */
   readonly noteNotice: (identity: string) => boolean;
-  /** What other entries have heard of an upstream's limit, as control tells it. */
+  /** Rate limit of an upstream as received by other entries and published by control. */
   readonly toldOf: (identity: string) => types.KnownRateLimit | undefined;
-  /** Tells the other entries of an upstream's limit; undefined where there is none any more. */
+  /** Publishes the rate limit of an upstream to other entries; undefined if it was lifted. */
   readonly tell: (identity: string, perSecond: number | undefined) => void;
 }
 
-function isAlike(one: number | undefined, other: number | undefined): boolean {
+function isSimilar(one: number | undefined, other: number | undefined): boolean {
   if (one === undefined || other === undefined) {
     return one === other;
   }
-  return Math.abs(one - other) <= ALIKE_WITHIN * Math.max(one, other);
+  return Math.abs(one - other) <= SIMILARITY_TOLERANCE * Math.max(one, other);
 }
 
-/** The book; see the module comment. */
+/** Stores back-pressure signals by upstream; see the module comment. */
 export class SignalBook {
-  private readonly options: SignalBookOptions;
+  private readonly options: SignalRegistryOptions;
   private readonly pauses = new Map<string, ports.Milliseconds>();
   private readonly rateLimits = new Map<string, types.KnownRateLimit>();
-  private readonly toldAt = new Map<string, ports.Milliseconds>();
+  private readonly publishedAt = new Map<string, ports.Milliseconds>();
   private readonly unreadable = new Set<string>();
   private readonly goneSince = new Map<string, ports.Milliseconds>();
 
-  constructor(options: SignalBookOptions) {
+  constructor(options: SignalRegistryOptions) {
     this.options = options;
     options.timers.every(
       () => EXPIRY_INTERVAL,
@@ -70,50 +68,55 @@
   }
 
   /**
-   * Takes in what an answer says.
+   * Applies the signals of an answer.
    *
-   * @param instance - the upstream that answered
-   * @param signals - what it says
-   * @param sentAt - when the request was sent that it answers
+   * @param instance - upstream that answered
+   * @param signals - signals in the answer
+   * @param sentAt - time at which the answered request was sent
    */
-  take(instance: instanceView.Instance, signals: types.UpstreamSignals, sentAt: ports.Milliseconds): void {
+  applySignals(
+    instance: instanceView.Instance,
+    signals: types.UpstreamSignals,
+    sentAt: ports.Milliseconds,
+  ): void {
     const { pause, rateLimit, leaving, unreadable } = signals;
     if (pause !== undefined) {
-      this.takePause(instance, pause);
+      this.applyPause(instance, pause);
     }
     if (rateLimit !== undefined) {
-      this.takeRateLimit(instance, rateLimit);
+      this.applyRateLimit(instance, rateLimit);
     } else {
-      this.takeNoRateLimit(instance, sentAt);
+      this.liftRateLimit(instance, sentAt);
     }
-    this.tellOthers(instance.identity);
+    this.publishIfChanged(instance.identity);
     if (leaving && this.options.noteNotice(instance.identity)) {
-      this.write(instance, 'upstreamLeaving', {});
+      this.logEvent(instance, 'upstreamLeaving', {});
     }
     for (const signal of unreadable) {
-      this.noteUnreadable(instance, signal);
+      this.logUnreadable(instance, signal);
     }
   }
 
-  /** When an upstream wants to be sent something again; in the past where it has asked for no pause. */
+  /** End of the pause requested by an upstream; negative infinity if there is none. */
   pausedUntil(identity: string): ports.Milliseconds {
     return this.pauses.get(identity) ?? Number.NEGATIVE_INFINITY;
   }
 
-  /** Requests a second that an upstream takes from all senders; undefined where it names no limit. */
+  /** Requests per second that an upstream accepts from all senders; undefined if it sets no limit. */
   rateLimitOf(identity: string): number | undefined {
     return this.latestRateLimit(identity)?.perSecond;
   }
 
-  /** The newest of what this entry and the others have heard. */
+  /** The newer of the limits received by this entry and by other entries. */
   private latestRateLimit(identity: string): types.KnownRateLimit | undefined {
-    const heard = this.rateLimits.get(identity);
-    const told = this.options.toldOf(identity);
-    const isToldNewer = told !== undefined && (heard === undefined || told.heardAt > heard.heardAt);
-    return isToldNewer ? told : heard;
+    const local = this.rateLimits.get(identity);
+    const published = this.options.toldOf(identity);
+    const isPublishedNewer =
+      published !== undefined && (local === undefined || published.heardAt > local.heardAt);
+    return isPublishedNewer ? published : local;
   }
 
-  /** Takes in what becomes of an upstream. One that has started anew is not bound by what its former start said. */
+  /** Handles a change of an instance. After a restart, signals of the previous start no longer apply. */
   onInstance({ instance, event }: instanceView.InstanceChange): void {
     const { identity } = instance;
     if (event === 'replaced') {
@@ -129,62 +132,64 @@
     this.goneSince.delete(identity);
     this.pauses.delete(identity);
     this.rateLimits.delete(identity);
-    this.toldAt.delete(identity);
+    this.publishedAt.delete(identity);
   }
 
-  private takePause(instance: instanceView.Instance, pause: ports.Milliseconds): void {
+  private applyPause(instance: instanceView.Instance, pause: ports.Milliseconds): void {
     const { identity } = instance;
     const now = this.options.timers.now();
     const until = this.pausedUntil(identity);
-    const length = Math.min(pause, LONGEST_PAUSE);
+    const length = Math.min(pause, MAX_PAUSE);
     this.pauses.set(identity, Math.max(until, now + length));
     if (until <= now) {
-      this.write(instance, 'upstreamPaused', { for: Math.round(length), asked: Math.round(pause) });
+      this.logEvent(instance, 'upstreamPaused', { for: Math.round(length), asked: Math.round(pause) });
     }
   }
 
-  private takeRateLimit(instance: instanceView.Instance, perSecond: number): void {
+  private applyRateLimit(instance: instanceView.Instance, perSecond: number): void {
     const before = this.rateLimitOf(instance.identity);
     this.rateLimits.set(instance.identity, { perSecond, heardAt: this.options.timers.now() });
-    if (!isAlike(perSecond, before)) {
-      this.write(instance, 'upstreamRateLimited', { perSecond, before });
+    if (!isSimilar(perSecond, before)) {
+      this.logEvent(instance, 'upstreamRateLimited', { perSecond, before });
     }
   }
 
-  /** Only the answer to a request that was sent after the limit was named last says for certain that it is over. */
-  private takeNoRateLimit(instance: instanceView.Instance, sentAt: ports.Milliseconds): void {
+  /**
+   * Lifts the limit only if the request was sent after the limit was received; an older answer may have been overtaken.
+   */
+  private liftRateLimit(instance: instanceView.Instance, sentAt: ports.Milliseconds): void {
     const known = this.latestRateLimit(instance.identity);
     if (known?.perSecond !== undefined && sentAt >= known.heardAt) {
       this.rateLimits.set(instance.identity, { perSecond: undefined, heardAt: this.options.timers.now() });
-      this.write(instance, 'upstreamRateLimitLifted', { before: known.perSecond });
+      this.logEvent(instance, 'upstreamRateLimitLifted', { before: known.perSecond });
     }
   }
 
-  /** An entry with no share of its own would not hear otherwise that the limit has changed, or is over. */
-  private tellOthers(identity: string): void {
-    const { timers, toldOf, tell } = this.options;
-    const heard = this.rateLimits.get(identity);
-    const told = toldOf(identity)?.perSecond;
+  /** Publishes the limit to other entries; an entry without a share would not learn of its change otherwise. */
+  private publishIfChanged(identity: string): void {
+    const { timers, toldOf: publishedRateLimitOf, tell: publishRateLimit } = this.options;
+    const local = this.rateLimits.get(identity);
+    const published = publishedRateLimitOf(identity)?.perSecond;
     const now = timers.now();
-    if (heard === undefined || isAlike(heard.perSecond, told)) {
+    if (local === undefined || isSimilar(local.perSecond, published)) {
       return;
     }
-    if (now - (this.toldAt.get(identity) ?? Number.NEGATIVE_INFINITY) >= TELL_PAUSE) {
-      this.toldAt.set(identity, now);
-      tell(identity, heard.perSecond);
+    if (now - (this.publishedAt.get(identity) ?? Number.NEGATIVE_INFINITY) >= MIN_PUBLISH_INTERVAL) {
+      this.publishedAt.set(identity, now);
+      publishRateLimit(identity, local.perSecond);
     }
   }
 
-  private noteUnreadable(instance: instanceView.Instance, { name, value }: types.UnreadableSignal): void {
+  private logUnreadable(instance: instanceView.Instance, { name, value }: types.UnreadableSignal): void {
     const key = `${instance.identity} ${name}`;
-    if (this.unreadable.has(key) || this.unreadable.size >= MOST_UNREADABLE) {
+    if (this.unreadable.has(key) || this.unreadable.size >= MAX_UNREADABLE) {
       return;
     }
     this.unreadable.add(key);
     this.options.log.warn('upstreamSignalUnreadable', { upstream: instance.identity, name, value });
   }
 
-  private write(instance: instanceView.Instance, event: string, fields: ports.LogFields): void {
+  private logEvent(instance: instanceView.Instance, event: string, fields: ports.LogFields): void {
     const { log } = this.options;
     log.info(event, { upstream: instance.identity, service: instance.service, ...fields });
   }
@@ -198,7 +203,7 @@
       }
     }
     for (const [identity, since] of this.goneSince) {
-      if (timers.now() - since >= GONE_KEPT) {
+      if (timers.now() - since >= GONE_RETENTION) {
         this.forget(identity);
       }
     }
--- a/packages/kumquatfront/src/backPressure/types.ts
+++ b/packages/kumquatfront/src/backPressure/types.ts
@@ -1,28 +1,29 @@
 /**
- * How upstreams tell those that send to them to send less. Times are milliseconds.
+ * Back-pressure signals with which upstreams ask senders for fewer requests. Times are milliseconds.
  */
 import type * as ports from '../kernel/ports.js';
 
-/** A signal that could not be read, as it came. */
+/** A signal that could not be parsed, as received. */
 export interface UnreadableSignal {
   readonly name: string;
   readonly value: string;
 }
 
-/** What one answer says besides the answer itself. */
+/** Back-pressure signals in one answer. */
 export interface UpstreamSignals {
-  /** Requests a second that the upstream takes from all senders together; undefined where it names no limit. */
+  /** Requests per second that the upstream accepts from all senders together; undefined if it sets no limit. */
   readonly rateLimit?: number;
-  /** Time for which it wants nothing from this sender; undefined where it does not say. */
+  /** Time for which it asks this sender to send nothing; undefined if it asks for no pause. */
   readonly pause?: ports.Milliseconds;
-  /** True where it is about to stop. */
+  /** True if the upstream is shutting down. */
   readonly leaving: boolean;
   readonly unreadable: readonly UnreadableSignal[];
 }
 
-/** A rate limit, and when an upstream was heard to name it. */
+/** The last known rate limit of an upstream. */
 export interface KnownRateLimit {
-  /** Requests a second from all senders together; undefined where it named a limit before and does not any more. */
+  /** Requests per second from all senders together; undefined if the limit was lifted. */
   readonly perSecond: number | undefined;
+  /** Time of the answer that set or lifted the limit. */
   readonly heardAt: ports.Milliseconds;
 }
--- a/packages/kumquatfront/src/quarantine/caseAge.ts
+++ b/packages/kumquatfront/src/quarantine/caseAge.ts
@@ -1,26 +1,26 @@
 /**
- * Ages of cases that are on their way or kept for a while.
+ * Adjusts the ages in crash records for time spent in transit or in storage.
  */
 import type * as ports from '../kernel/ports.js';
 import type * as types from './types.js';
 
 /**
- * A case some time after it was recorded.
+ * Adds elapsed time to every age in a crash record.
  *
- * @param record - the case as it was recorded
- * @param time - how long ago that was
- * @returns the same case with ages that hold now
+ * @param record - the crash record as it was created
+ * @param elapsed - time since then
+ * @returns a copy of the record with current ages
  * @example
  * ```ts
- * ledger.merge(caseAge.after(record, 250), now);
+ * store.merge(crashRecordAge.advance(record, 250), now);
  * ```
  */
-export function after(record: types.CaseRecord, time: ports.Milliseconds): types.CaseRecord {
+export function after(record: types.CaseRecord, elapsed: ports.Milliseconds): types.CaseRecord {
   const { voidedAge, imposedAge } = record;
   return {
     ...record,
-    crashes: record.crashes.map(({ instance, age }) => ({ instance, age: age + time })),
-    ...(voidedAge !== undefined && { voidedAge: voidedAge + time }),
-    ...(imposedAge !== undefined && { imposedAge: imposedAge + time }),
+    crashes: record.crashes.map(({ instance, age }) => ({ instance, age: age + elapsed })),
+    ...(voidedAge !== undefined && { voidedAge: voidedAge + elapsed }),
+    ...(imposedAge !== undefined && { imposedAge: imposedAge + elapsed }),
   };
 }
--- a/packages/kumquatfront/src/quarantine/caseBook.spec.ts
+++ b/packages/kumquatfront/src/quarantine/caseBook.spec.ts
@@ -1,5 +1,5 @@
 /**
- * What a control replica has the others agree on, and when it lets go.
+ * Which quarantines a control replica commits to the replicated log, and when it releases them.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -8,16 +8,16 @@
 import * as caseBook from './caseBook.js';
 import * as crashLedger from './crashLedger.js';
 
-/** A book over a log of one replica: what it proposes is agreed on at once. */
-class Bench {
+/** A registry over a log of one replica, which commits every proposal immediately. */
+class Harness {
   now = 0;
   mayLead = true;
   readonly proposed: string[] = [];
   readonly state = new agreedState.AgreedState({ ...agreedState.defaultLimits, quarantined: 2 });
-  book = this.createBook();
+  registry = this.createRegistry();
 
-  /** A replica that has started anew, with what is in its log. */
-  createBook(): caseBook.CaseBook {
+  /** Creates the registry of a restarted replica from the replicated log. */
+  createRegistry(): caseBook.CaseBook {
     const silent = (): void => undefined;
     return new caseBook.CaseBook({
       now: () => this.now,
@@ -33,72 +33,72 @@
     });
   }
 
-  /** Entries found three ends under a content. */
-  end(content: string): void {
+  /** Merges a record with three crashes, as reported by entries. */
+  reportCrashes(content: string): void {
     const crashes = ['a', 'b', 'c'].map((name) => ({ instance: `${content}-${name}`, age: 0 }));
-    this.book.hear([{ content, crashes, lapses: 0 }]);
+    this.registry.hear([{ content, crashes, lapses: 0 }]);
   }
 }
 
-void test.test('a quarantine is agreed on once, and known after a start', () => {
-  const bench = new Bench();
-  bench.end('x');
-  bench.end('x');
-  bench.now = 5_000;
-  bench.book.beat();
-  assert.deepEqual(bench.proposed, ['quarantine x']);
-  const started = bench.createBook();
+void test.test('a quarantine is proposed once and restored after a restart', () => {
+  const harness = new Harness();
+  harness.reportCrashes('x');
+  harness.reportCrashes('x');
+  harness.now = 5_000;
+  harness.registry.beat();
+  assert.deepEqual(harness.proposed, ['quarantine x']);
+  const started = harness.createRegistry();
   assert.deepEqual(
     started.newsSince(0)?.cases.map(({ content }) => content),
     ['x'],
   );
 });
 
-void test.test('a replica that does not lead proposes nothing', () => {
-  const bench = new Bench();
-  bench.mayLead = false;
-  bench.end('x');
-  bench.book.beat();
-  assert.deepEqual(bench.proposed, []);
+void test.test('a replica that is not the leader proposes nothing', () => {
+  const harness = new Harness();
+  harness.mayLead = false;
+  harness.reportCrashes('x');
+  harness.registry.beat();
+  assert.deepEqual(harness.proposed, []);
 });
 
-// An upstream answered it in whole: it ends none, and must not be brought back by what the log holds.
-void test.test('a content that was answered is released', () => {
-  const bench = new Bench();
-  bench.end('x');
-  bench.now = 100;
-  bench.book.hear([{ content: 'x', crashes: [], voidedAge: 10, lapses: 0 }]);
-  assert.deepEqual(bench.proposed, ['quarantine x', 'release x']);
-  assert.deepEqual(bench.state.quarantined, []);
-  assert.equal(bench.createBook().newsSince(0), undefined);
+// An answered content must not be quarantined again from the replicated log.
+void test.test('a content that was answered is released from quarantine', () => {
+  const harness = new Harness();
+  harness.reportCrashes('x');
+  harness.now = 100;
+  harness.registry.hear([{ content: 'x', crashes: [], voidedAge: 10, lapses: 0 }]);
+  assert.deepEqual(harness.proposed, ['quarantine x', 'release x']);
+  assert.deepEqual(harness.state.quarantined, []);
+  assert.equal(harness.createRegistry().newsSince(0), undefined);
 });
 
-void test.test('a quarantine that has run out is released', () => {
-  const bench = new Bench();
-  bench.end('x');
-  bench.now = crashLedger.FIRST_QUARANTINE + 10;
-  bench.book.beat();
-  assert.deepEqual(bench.proposed, ['quarantine x', 'release x']);
+void test.test('an expired quarantine is released', () => {
+  const harness = new Harness();
+  harness.reportCrashes('x');
+  harness.now = crashLedger.FIRST_QUARANTINE_DURATION + 10;
+  harness.registry.beat();
+  assert.deepEqual(harness.proposed, ['quarantine x', 'release x']);
 });
 
-// More contents are quarantined than the log keeps: those beyond live in memory, and the log does not grow with them.
-void test.test('the replicas agree on a bounded number', () => {
-  const bench = new Bench();
+// Contents beyond the limit stay quarantined in memory only.
+void test.test('the number of quarantined contents in the replicated log is bounded', () => {
+  const harness = new Harness();
   ['x', 'y', 'z'].forEach((content) => {
-    bench.end(content);
+    harness.reportCrashes(content);
   });
-  bench.now = 5_000;
-  bench.book.beat();
-  assert.deepEqual(bench.proposed, ['quarantine x', 'quarantine y']);
-  assert.equal(bench.book.newsSince(0)?.cases.length, 3);
+  harness.now = 5_000;
+  harness.registry.beat();
+  assert.deepEqual(harness.proposed, ['quarantine x', 'quarantine y']);
+  assert.equal(harness.registry.newsSince(0)?.cases.length, 3);
 });
 
-// A replica far behind takes a snapshot over.
-void test.test('a snapshot carries what is quarantined', () => {
-  const bench = new Bench();
-  bench.end('x');
+// A replica that lags behind restores its state from a snapshot.
+void test.test('a snapshot contains the quarantined contents', () => {
+  const harness = new Harness();
+  harness.reportCrashes('x');
   const restored = new agreedState.AgreedState();
-  restored.restore(JSON.parse(JSON.stringify(bench.state.toJson())) as agreedState.AgreedStateJson);
+  restored.restore(JSON.parse(JSON.stringify(harness.state.toJson())) as agreedState.AgreedStateJson);
   assert.deepEqual(restored.quarantined, ['x']);
-  assert.equal(restored.digest(), bench.state.digest());
+  assert.equal(restored.digest(), harness.state.digest());
 });
--- a/packages/kumquatfront/src/quarantine/caseBook.ts
+++ b/packages/kumquatfront/src/quarantine/caseBook.ts
@@ -1,117 +1,118 @@
 /**
- * A control replica's part in keeping requests that end upstreams away from them: it collects what entries found out,
- * tells all entries, and has the replicas agree on what is quarantined, so that it outlives them.
+ * Quarantine registry of a control replica: collects crash records from entries, publishes them to all entries, and
+ * commits quarantined contents to the replicated log.
  *
- * Entries tell every replica, and hear from two at once, so a quarantine is known everywhere within a second whoever
- * leads, and where nobody does. The replicated log is only for the loss of everything: after it, the same request would
- * end three upstreams anew.
+ * Crash records are exchanged without the leader, so that entries learn of a quarantine during an election or without
+ * a quorum. The replicated log only serves to restore quarantines after all processes have restarted.
  */
 import type * as agreedTypes from '../agreedState/types.js';
 import type * as ports from '../kernel/ports.js';
 import * as crashLedger from './crashLedger.js';
 import type * as types from './types.js';
 
-/** What the book is made from. */
-export interface CaseBookOptions {
+/** Dependencies and limits of the registry. */
+export interface QuarantineRegistryOptions {
   readonly now: () => ports.Milliseconds;
   readonly log: ports.Log;
   readonly metrics: ports.Metrics;
-  /** Contents that the replicas have agreed to keep from upstreams; another list after each change. */
+  /** Quarantined contents in the replicated log; returns a new array after each change. */
   readonly agreed: () => readonly string[];
-  /** Proposes a command to the replicated log; called only where this replica leads. */
+  /** Proposes a command to the replicated log; called only while `mayLead` returns true. */
   readonly propose: (command: agreedTypes.QuarantineCommand | agreedTypes.ReleaseCommand) => void;
   readonly mayLead: () => boolean;
-  /** Contents that the replicas agree on at most; further ones live in memory only. */
+  /** Maximum number of contents in the replicated log; any others are kept in memory only. */
   readonly mostAgreed: number;
 }
 
-/** A proposal without an outcome is made again after this long: an election and a sync take less. */
-const PROPOSE_AGAIN: ports.Milliseconds = 2_000;
+/** Minimum time between two proposals of the same command; longer than an election and a disk sync. */
+const PROPOSAL_RETRY_INTERVAL: ports.Milliseconds = 2_000;
 
-/** The book; see the module comment. */
+/** Collects, publishes and replicates quarantines; see the module comment. */
 export class CaseBook {
-  private readonly options: CaseBookOptions;
-  private readonly ledger: crashLedger.CrashLedger;
-  private imposed: readonly string[] = [];
+  private readonly options: QuarantineRegistryOptions;
+  private readonly store: crashLedger.CrashRecordStore;
+  private appliedQuarantines: readonly string[] = [];
   private readonly proposedAt = new Map<string, ports.Milliseconds>();
 
-  constructor(options: CaseBookOptions) {
+  constructor(options: QuarantineRegistryOptions) {
     this.options = options;
     const { log, metrics } = options;
-    this.ledger = new crashLedger.CrashLedger(({ content, change, instances }) => {
+    this.store = new crashLedger.CrashRecordStore(({ content, change, instances }) => {
       log.info('caseChanged', { content, change, ended: instances.join(' ') });
-      metrics.gauge('quarantine.contents', this.ledger.quarantined.length);
+      metrics.gauge('quarantine.contents', this.store.quarantined.length);
     });
   }
 
   get revision(): number {
-    this.imposeAgreed();
-    return this.ledger.revision;
+    this.applyAgreedQuarantines();
+    return this.store.revision;
   }
 
-  /** What changed after a revision; undefined where nothing did. */
+  /** Crash records that changed after a revision; undefined if none did. */
   newsSince(revision: number): types.CaseNews | undefined {
-    this.imposeAgreed();
-    return revision >= this.ledger.revision ? undefined : this.ledger.newsSince(revision, this.options.now());
+    this.applyAgreedQuarantines();
+    return revision >= this.store.revision
+      ? undefined
+      : this.store.updatesSince(revision, this.options.now());
   }
 
-  /** Takes in what an entry holds against contents; true where it is news. */
-  hear(cases: readonly types.CaseRecord[]): boolean {
-    this.imposeAgreed();
+  /** Merges crash records from an entry; returns true if any of them changed the stored state. */
+  hear(records: readonly types.CaseRecord[]): boolean {
+    this.applyAgreedQuarantines();
     const now = this.options.now();
-    const changes = cases.map((record) => this.ledger.merge(record, now));
-    this.agree();
+    const changes = records.map((record) => this.store.merge(record, now));
+    this.proposeChanges();
     return changes.includes(true);
   }
 
-  /** Called several times a second. */
+  /** Periodic work: expires records and proposes changes to the replicated log. */
   beat(): void {
-    this.imposeAgreed();
-    this.ledger.expire(this.options.now());
-    this.agree();
+    this.applyAgreedQuarantines();
+    this.store.expire(this.options.now());
+    this.proposeChanges();
   }
 
-  /** Takes over what this replica's log holds that it has not taken over yet: after a start that is all of it. */
-  private imposeAgreed(): void {
+  /** Applies quarantines from the replicated log that have not been applied yet; after a start, all of them. */
+  private applyAgreedQuarantines(): void {
     const agreed = this.options.agreed();
-    if (agreed === this.imposed) {
+    if (agreed === this.appliedQuarantines) {
       return;
     }
-    const known = new Set(this.imposed);
-    this.imposed = agreed;
+    const applied = new Set(this.appliedQuarantines);
+    this.appliedQuarantines = agreed;
     for (const content of agreed) {
-      if (!known.has(content) && this.ledger.verdictOf(content) !== 'quarantined') {
-        this.ledger.impose(content, this.options.now());
+      if (!applied.has(content) && this.store.verdictOf(content) !== 'quarantined') {
+        this.store.applyAgreedQuarantine(content, this.options.now());
       }
     }
   }
 
-  /** Brings the replicated log to what is held here, where this replica leads. */
-  private agree(): void {
+  /** On the leader, proposes the commands that align the replicated log with the local records. */
+  private proposeChanges(): void {
     if (!this.options.mayLead()) {
       return;
     }
     const agreed = new Set(this.options.agreed());
-    const missing = this.ledger.quarantined.filter((content) => !agreed.has(content));
+    const missing = this.store.quarantined.filter((content) => !agreed.has(content));
     for (const content of missing.slice(0, Math.max(0, this.options.mostAgreed - agreed.size))) {
-      this.proposeOnce({ type: 'quarantine', content });
+      this.proposeThrottled({ type: 'quarantine', content });
     }
     for (const content of agreed) {
-      if (this.ledger.verdictOf(content) !== 'quarantined') {
-        this.proposeOnce({ type: 'release', content });
+      if (this.store.verdictOf(content) !== 'quarantined') {
+        this.proposeThrottled({ type: 'release', content });
       }
     }
   }
 
-  private proposeOnce(command: agreedTypes.QuarantineCommand | agreedTypes.ReleaseCommand): void {
+  private proposeThrottled(command: agreedTypes.QuarantineCommand | agreedTypes.ReleaseCommand): void {
     const now = this.options.now();
     const key = `${command.type} ${command.content}`;
-    if (now - (this.proposedAt.get(key) ?? Number.NEGATIVE_INFINITY) < PROPOSE_AGAIN) {
+    if (now - (this.proposedAt.get(key) ?? Number.NEGATIVE_INFINITY) < PROPOSAL_RETRY_INTERVAL) {
       return;
     }
-    for (const [former, at] of this.proposedAt) {
-      if (now - at >= PROPOSE_AGAIN) {
-        this.proposedAt.delete(former);
+    for (const [earlierKey, at] of this.proposedAt) {
+      if (now - at >= PROPOSAL_RETRY_INTERVAL) {
+        this.proposedAt.delete(earlierKey);
       }
     }
     this.proposedAt.set(key, now);
--- a/packages/kumquatfront/src/quarantine/caseReporter.ts
+++ b/packages/kumquatfront/src/quarantine/caseReporter.ts
@@ -1,79 +1,79 @@
 /**
- * Tells control replicas what this entry holds against contents. Every replica is told directly, so that no leader and
- * no quorum is needed, and again until it has answered: one may be cut off or starting at that moment.
+ * Sends the crash records of this entry to the control replicas. Each replica is sent its own report, so that neither a
+ * leader nor a quorum is needed, and reports are retried until acknowledged.
  */
 import type * as ports from '../kernel/ports.js';
 import type * as timerService from '../kernel/timerService.js';
 import * as methods from '../trafficControl/methods.js';
 import type * as types from './types.js';
 
-/** A replica that does not answer is told again this often: three times within the second in which all shall know. */
-const TELL_AGAIN: ports.Milliseconds = 300;
+/** Request timeout, and delay before the retry of a failed report. */
+const RETRY_INTERVAL: ports.Milliseconds = 300;
 
-/** Cases in one message: some ten kilobytes. */
-const MOST_CASES_AT_ONCE = 32;
+/** Limits the size of one message to about ten kilobytes. */
+const MAX_RECORDS_PER_MESSAGE = 32;
 
-/** What the reporter is made from. */
-export interface CaseReporterOptions {
+/** Dependencies of the reporter. */
+export interface CrashReporterOptions {
   readonly timers: timerService.TimerService;
   readonly peers: ports.PeerTransport;
-  /** Addresses of the replicas that this entry watches. */
+  /** Addresses of the control replicas that this entry watches. */
   readonly replicas: () => readonly string[];
   readonly caseOf: (content: string) => types.CaseRecord | undefined;
 }
 
-/** The reporter; see the module comment. */
+/** Reports crash records to control replicas; see the module comment. */
 export class CaseReporter {
-  private readonly options: CaseReporterOptions;
-  /** Contents of which a replica has not acknowledged the newest word, by its address. */
-  private readonly untold = new Map<string, Set<string>>();
-  /** Replicas that have a message under way. */
-  private readonly asked = new Set<string>();
+  private readonly options: CrashReporterOptions;
+  /** Contents whose latest record a replica has not acknowledged yet, by replica address. */
+  private readonly pending = new Map<string, Set<string>>();
+  /** Addresses of replicas with a request in flight. */
+  private readonly inFlight = new Set<string>();
 
-  constructor(options: CaseReporterOptions) {
+  constructor(options: CrashReporterOptions) {
     this.options = options;
   }
 
-  /** Tells every replica of contents. */
+  /** Reports the crash records of contents to every replica. */
   tellAll(contents: readonly string[]): void {
     for (const address of this.options.replicas()) {
       this.tell(address, contents);
     }
   }
 
-  /** Tells one replica of contents. */
+  /** Reports the crash records of contents to one replica. */
   tell(address: string, contents: readonly string[]): void {
-    const untold = this.untold.get(address) ?? new Set<string>();
-    this.untold.set(address, untold);
+    const pending = this.pending.get(address) ?? new Set<string>();
+    this.pending.set(address, pending);
     for (const content of contents) {
-      untold.add(content);
+      pending.add(content);
     }
     this.send(address);
   }
 
   private send(address: string): void {
-    const { peers, timers, caseOf, replicas } = this.options;
-    const untold = this.untold.get(address);
-    if (untold === undefined || this.asked.has(address)) {
+    const { peers, timers, caseOf: recordOf, replicas } = this.options;
+    const pending = this.pending.get(address);
+    if (pending === undefined || this.inFlight.has(address)) {
       return;
     }
-    if (untold.size === 0 || !replicas().includes(address)) {
-      this.untold.delete(address);
+    if (pending.size === 0 || !replicas().includes(address)) {
+      this.pending.delete(address);
       return;
     }
-    const contents = [...untold].slice(0, MOST_CASES_AT_ONCE);
-    contents.forEach((content) => untold.delete(content));
-    const cases = contents.map(caseOf).filter((record) => record !== undefined);
-    this.asked.add(address);
-    const message: methods.CaseReport = { cases };
-    peers.request(address, methods.methods.cases, message, TELL_AGAIN, (result) => {
-      this.asked.delete(address);
+    const contents = [...pending].slice(0, MAX_RECORDS_PER_MESSAGE);
+    contents.forEach((content) => pending.delete(content));
+    const records = contents.map(recordOf).filter((record) => record !== undefined);
+    this.inFlight.add(address);
+    const message: methods.CaseReport = { cases: records };
+    peers.request(address, methods.methods.cases, message, RETRY_INTERVAL, (result) => {
+      this.inFlight.delete(address);
       if (result.ok) {
         this.send(address);
         return;
       }
-      contents.forEach((content) => untold.add(content));
-      timers.after(TELL_AGAIN, () => {
+      contents.forEach((content) => pending.add(content));
+      timers.after(RETRY_INTERVAL, () => {
         this.send(address);
       });
     });
--- a/packages/kumquatfront/src/quarantine/contentDigest.spec.ts
+++ b/packages/kumquatfront/src/quarantine/contentDigest.spec.ts
@@ -1,3 +1,6 @@
+/**
+ * Which parts of a request determine its content digest.
+ */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
 
@@ -19,13 +22,13 @@
 
 const digest = contentDigest.of(request(), 'school-1');
 
-void test.test('a request that is brought again has the same digest', () => {
+void test.test('a retry of a request has the same digest', () => {
   const again = request({ identity: 'r2', arrivedAt: 900, headers: [['X-Guess', '12']], patience: 5 });
   assert.equal(contentDigest.of(again, 'school-1'), digest);
   assert.match(digest, /^[0-9a-f]{32}$/);
 });
 
-void test.test('another path, query, body, method, host or account gives another digest', () => {
+void test.test('a different path, query, body, method, host or account gives a different digest', () => {
   const others = [
     contentDigest.of(request({ path: '/reports/2?page=2' }), 'school-1'),
     contentDigest.of(request({ path: '/reports/1?page=3' }), 'school-1'),
@@ -37,8 +40,8 @@
   assert.equal(new Set([digest, ...others]).size, others.length + 1);
 });
 
-// The parts are framed: what one of them ends with cannot be moved into the next.
-void test.test('parts that join to the same text give other digests', () => {
+// Guards against ambiguous concatenation of path and body.
+void test.test('parts that concatenate to the same text give different digests', () => {
   const one = request({ path: '/a', body: Buffer.from('') });
   const other = request({ path: '/', body: Buffer.from('a') });
   assert.notEqual(contentDigest.of(one, ''), contentDigest.of(other, ''));
--- a/packages/kumquatfront/src/quarantine/contentDigest.ts
+++ b/packages/kumquatfront/src/quarantine/contentDigest.ts
@@ -1,26 +1,26 @@
 /**
- * Names what a request asks for, whoever brings it again under whatever identity.
+ * Computes digests that identify the content of a request, independent of the identity of each attempt.
  */
 import * as crypto from 'node:crypto';
 
 import type * as relayTypes from '../relay/types.js';
 
-/** Hexadecimal digits kept: 128 bits, so that nobody can make a request that is taken for another one. */
-const DIGITS = 32;
+/** Hexadecimal digits of a digest: 128 bits, so that a digest of another request cannot be forged. */
+const DIGEST_LENGTH = 32;
 
-/** Digests of relayed requests: several decisions about one need it, and a body may have megabytes. */
-const digests = new WeakMap<relayTypes.TrafficRequest, string>();
+/** Caches the digest of each relayed request, since it is needed repeatedly and bodies may be megabytes long. */
+const digestCache = new WeakMap<relayTypes.TrafficRequest, string>();
 
 /**
- * Digest of parts and a body. The client account belongs to the parts, so that nothing an account does turns away
- * another's requests.
+ * Computes the digest of request attributes and a body. The attributes must include the client account, so that one
+ * account cannot cause the quarantine of another account's requests.
  *
- * @param parts - what the request says beside its body; framed, so that no two lists give the same text
- * @param body - its body
+ * @param parts - attributes of the request; JSON-encoded, so that different lists never hash the same text
+ * @param body - request body
  * @returns 32 hexadecimal digits
  * @example
  * ```ts
- * contentDigest.ofParts(['POST', '/v1/completions', 'school-1'], body);
+ * contentDigest.fromParts(['POST', '/v1/completions', 'school-1'], body);
  * ```
  */
 export function ofParts(parts: readonly string[], body: string | Uint8Array): string {
@@ -29,29 +29,29 @@
     .update(JSON.stringify(parts))
     .update(body)
     .digest('hex')
-    .slice(0, DIGITS);
+    .slice(0, DIGEST_LENGTH);
 }
 
 /**
- * Digest of a relayed request's content: method, host, path with query, client account and the whole body. Other
- * headers are left out: identities, times left and guesses of length differ between a request and the same one brought
- * again.
+ * Computes the digest of a relayed request from its method, host, path with query, client account and full body.
+ * Headers are excluded: request identities, remaining times and length hints differ between retries of the same
+ * request.
  *
- * @param request - the request
- * @param account - name of its client account; empty where none is needed
+ * @param request - relayed request
+ * @param account - name of its client account; empty if the route needs none
  * @returns 32 hexadecimal digits
  * @example
  * ```ts
- * contentDigest.of(request, 'school-1');
+ * contentDigest.forRequest(request, 'school-1');
  * ```
  */
 export function of(request: relayTypes.TrafficRequest, account: string): string {
-  const known = digests.get(request);
-  if (known !== undefined) {
-    return known;
+  const cached = digestCache.get(request);
+  if (cached !== undefined) {
+    return cached;
   }
   const { method, host, path, body } = request;
   const digest = ofParts([method, host, path, account], body);
-  digests.set(request, digest);
+  digestCache.set(request, digest);
   return digest;
 }
--- a/packages/kumquatfront/src/quarantine/crashBench.ts
+++ b/packages/kumquatfront/src/quarantine/crashBench.ts
@@ -1,7 +1,6 @@
 /**
- * A whole system on virtual time for the specs of what upstreams do to those that send to them: control replicas,
- * entries, and upstreams that end under certain requests and are back seconds later as new instances, or that say in
- * their answers how much they want to be sent.
+ * Test harness that runs a complete system on virtual time: control replicas, entries, and upstreams that crash under
+ * certain requests and restart seconds later as new instances, or send back-pressure signals in their answers.
  */
 import * as seededRandom from '../adapters/seededRandom.js';
 import * as instanceBench from '../instances/instanceBench.js';
@@ -14,27 +13,27 @@
 import type * as trafficEntry from '../trafficEntry/trafficEntry.js';
 import * as crashBenchTraffic from './crashBenchTraffic.js';
 
-/** What a request does to the upstream that runs it. */
+/** Effect of a request on the upstream that runs it. */
 export type Effect = 'served' | 'crashes';
 
-/** The services of the bench: engines that generate, and a plain one. */
+/** Services of the harness: `llm` runs on engines, `app` on plain upstreams. */
 export type ServiceName = 'llm' | 'app';
 
 const ROUND_TRIP: ports.Milliseconds = 2;
-/** Time from the arrival of a request to the begin of its run: a prompt is read first. */
-const BEGINS_AFTER: Readonly<Record<ServiceName, ports.Milliseconds>> = { llm: 400, app: 1 };
-/** Time from the begin of a run to the crash under it. */
-const CRASHES_AFTER: Readonly<Record<ServiceName, ports.Milliseconds>> = { llm: 80, app: 10 };
-const RUNS_FOR: Readonly<Record<ServiceName, ports.Milliseconds>> = { llm: 300, app: 25 };
-const DOWN_FOR: ports.Milliseconds = 3_000;
-const ANNOUNCES_EVERY: ports.Milliseconds = 1_200;
+/** Time from the arrival of a request to the start of its run; engines process the prompt first. */
+const START_DELAY: Readonly<Record<ServiceName, ports.Milliseconds>> = { llm: 400, app: 1 };
+/** Time from the start of a run to the crash that it causes. */
+const CRASH_DELAY: Readonly<Record<ServiceName, ports.Milliseconds>> = { llm: 80, app: 10 };
+const RUN_DURATION: Readonly<Record<ServiceName, ports.Milliseconds>> = { llm: 300, app: 25 };
+const DOWNTIME: ports.Milliseconds = 3_000;
+const ANNOUNCEMENT_INTERVAL: ports.Milliseconds = 1_200;
 
-/** An attempt of a caller and what came of it. */
+/** An attempt of a caller and its outcome. */
 export interface Attempt {
   readonly content: string;
   readonly entry: string;
-  readonly askedAt: ports.Milliseconds;
-  /** `served`, `broken`, or the reason of a refusal; undefined while it runs. */
+  readonly startedAt: ports.Milliseconds;
+  /** `served`, `broken`, or the reason for a refusal; undefined while it runs. */
   outcome: string | undefined;
   refusal: relayTypes.Refusal | undefined;
 }
@@ -48,7 +47,7 @@
   readonly at: ports.Milliseconds;
 }
 
-/** The head of an upstream's answer on its way to an entry. */
+/** Response head that an upstream sent to an entry. */
 export interface Answer {
   readonly head: relayTypes.UpstreamHead;
   readonly upstream: string;
@@ -56,14 +55,14 @@
   readonly at: ports.Milliseconds;
 }
 
-/** The end of an upstream. */
+/** A crash of an upstream. */
 export interface Crash {
-  /** Content under which it ended; empty where it ended of itself. */
+  /** Content that caused the crash; empty if none did. */
   readonly content: string;
   readonly upstream: string;
   readonly at: ports.Milliseconds;
-  /** What else ran there. */
-  readonly beside: readonly string[];
+  /** Other contents that ran on the upstream. */
+  readonly otherContents: readonly string[];
 }
 
 interface Run {
@@ -82,10 +81,10 @@
 
 const PATHS: Readonly<Record<ServiceName, string>> = { llm: '/notes/', app: '/stock/' };
 
-/** The control replicas of the bench. */
+/** Names of the control replicas. */
 export const REPLICAS: readonly string[] = ['c1', 'c2', 'c3'];
 
-/** The bench; see the module comment. */
+/** Simulated system with crashing upstreams; see the module comment. */
 export class CrashBench {
   readonly control: controlBench.ControlBench;
   readonly time: virtualTime.VirtualTime;
@@ -93,18 +92,18 @@
   readonly crashes: Crash[] = [];
   readonly attempts: Attempt[] = [];
   readonly answers: Answer[] = [];
-  /** What an upstream answers with; one that did not run the request says so at once. */
+  /** Response head of an upstream; a head with `notRun` is sent immediately. */
   headOf: (upstream: string, entry: string) => relayTypes.UpstreamHead = () => relayBench.soundHead;
   private readonly entries = new Map<string, trafficEntry.TrafficEntry>();
   private readonly upstreams: Upstream[] = [];
-  private asked = 0;
+  private requestCount = 0;
 
   /**
-   * @param entryCount - entries, named `e1` and on
-   * @param upstreamCounts - instances of each service
-   * @param effectOf - what a content does to its upstream
-   * @param seed - of what is drawn at random
-   * @param dataCentres - where the instances of each service are, in turn
+   * @param entryCount - number of entries, named `e1`, `e2` and so on
+   * @param upstreamCounts - number of instances of each service
+   * @param effectOf - returns the effect of a content on its upstream
+   * @param seed - seed of the random numbers
+   * @param dataCentres - data centres to which the instances of each service are assigned in turn
    */
   constructor(
     entryCount: number,
@@ -128,12 +127,12 @@
     this.time.advance(3_000);
   }
 
-  /** Starts an entry; one that ran under the name is gone with all that it knew. */
+  /** Starts an entry without any state; replaces an entry of the same name. */
   startEntry(name: string): void {
-    this.entries.set(name, this.control.startEntry(name, this.upstreamsOf(name)));
+    this.entries.set(name, this.control.startEntry(name, this.upstreamPortOf(name)));
   }
 
-  /** Kills an entry; nothing that it knew is left. */
+  /** Kills an entry; its state is lost. */
   killEntry(name: string): void {
     this.control.kill(name);
     this.entries.delete(name);
@@ -160,7 +159,7 @@
       if (replica !== undefined) {
         this.control.trafficOf(replica).announce(upstream.announcement);
       }
-      this.time.after(ANNOUNCES_EVERY, () => {
+      this.time.after(ANNOUNCEMENT_INTERVAL, () => {
         if (upstream.announcement.identity === announcement.identity) {
           this.announce(upstream);
         }
@@ -174,8 +173,8 @@
       return;
     }
     upstream.alive = false;
-    const beside = [...upstream.runs].map((run) => run.content).filter((other) => other !== content);
-    this.crashes.push({ content, upstream: identity, at: this.time.now(), beside });
+    const otherContents = [...upstream.runs].map((run) => run.content).filter((other) => other !== content);
+    this.crashes.push({ content, upstream: identity, at: this.time.now(), otherContents });
     for (const run of upstream.runs) {
       this.time.after(ROUND_TRIP / 2, () => {
         if (!run.cancelled) {
@@ -184,7 +183,7 @@
       });
     }
     upstream.runs.clear();
-    this.time.after(DOWN_FOR, () => {
+    this.time.after(DOWNTIME, () => {
       upstream.starts += 1;
       const name = `${upstream.announcement.address.split(':')[0] ?? service}.${upstream.starts}`;
       const { address, dataCentre } = upstream.announcement;
@@ -194,7 +193,7 @@
     });
   }
 
-  private upstreamsOf(entry: string): relayTypes.UpstreamPort {
+  private upstreamPortOf(entry: string): relayTypes.UpstreamPort {
     return {
       send: (call, listener) => this.send(entry, call, listener),
       check: (address, done) => {
@@ -204,7 +203,7 @@
         });
       },
       copyMemory: (_source, _target, _request, _stop, done) => {
-        done({ state: 'failed', reason: 'no copies on this bench' });
+        done({ state: 'failed', reason: 'the test harness does not support copies' });
       },
       dropCopy: () => undefined,
     };
@@ -261,7 +260,7 @@
       });
     };
     if (this.effectOf(content) === 'crashes') {
-      whileRunning(BEGINS_AFTER[service] + CRASHES_AFTER[service], () => {
+      whileRunning(START_DELAY[service] + CRASH_DELAY[service], () => {
         this.crash(upstream, content);
       });
       return;
@@ -272,13 +271,13 @@
       });
       return;
     }
-    whileRunning(BEGINS_AFTER[service] + RUNS_FOR[service], () => {
+    whileRunning(START_DELAY[service] + RUN_DURATION[service], () => {
       answer(this.headOf(identity, entry));
     });
   }
 
-  /** An upstream ends by itself, with whatever runs on it. */
-  endOne(service: ServiceName): void {
+  /** Crashes one running upstream of a service, together with all runs on it. */
+  crashOne(service: ServiceName): void {
     const found = this.upstreams.find(({ announcement, alive }) => announcement.service === service && alive);
     if (found !== undefined) {
       this.crash(found, '');
@@ -286,9 +285,9 @@
   }
 
   /**
-   * A caller's attempt; each has an identity of its own.
+   * Sends a request to an entry as a caller would; each attempt has its own identity.
    *
-   * @param done - told of the outcome
+   * @param done - called with the outcome
    */
   ask(
     entry: string,
@@ -297,11 +296,11 @@
     done: (attempt: Attempt) => void = () => undefined,
     account = 'school-1',
   ): Attempt {
-    this.asked += 1;
+    this.requestCount += 1;
     const attempt: Attempt = {
       content,
       entry,
-      askedAt: this.time.now(),
+      startedAt: this.time.now(),
       outcome: undefined,
       refusal: undefined,
     };
@@ -331,8 +330,8 @@
     return attempt;
   }
 
-  /** Callers ask at random entries, at a steady rate. */
-  drive(service: ServiceName, perSecond: number, length: ports.Milliseconds): void {
+  /** Sends requests to random entries at a constant rate. */
+  generateLoad(service: ServiceName, perSecond: number, length: ports.Milliseconds): void {
     const random = seededRandom.create(11);
     const { entryNames } = this;
     for (let at = 0; at < length; at += 1_000 / perSecond) {
@@ -347,7 +346,7 @@
   private request(service: ServiceName, content: string, account: string): relayTypes.TrafficRequest {
     const generation = { promptTokens: 900, outputLimit: 44, lengthHint: 2, prompt: content };
     return {
-      identity: `r${this.asked}`,
+      identity: `r${this.requestCount}`,
       host: crashBenchTraffic.HOST,
       path: PATHS[service] + 'x',
       method: 'POST',
--- a/packages/kumquatfront/src/quarantine/crashBenchTraffic.ts
+++ b/packages/kumquatfront/src/quarantine/crashBenchTraffic.ts
@@ -1,11 +1,11 @@
 /**
- * What callers of the crash bench may ask: routes to its engines and to its plain service, and client accounts.
+ * Routes, services and client accounts of the crash test harness.
  */
 import * as relayBench from '../relay/relayBench.js';
 import type * as trafficTypes from '../traffic/types.js';
 import type * as warmUpBounds from '../warmUp/warmUpBounds.js';
 
-/** What all routes of the bench have in common. */
+/** Settings shared by all routes. */
 const routeBase = {
   host: 'market.example',
   timeout: 10_000,
@@ -17,7 +17,7 @@
   longestPause: 180,
 };
 
-/** The routes of the bench. */
+/** Routes to the engines and to the plain service. */
 export const routes: readonly trafficTypes.Route[] = [
   {
     ...routeBase,
@@ -37,16 +37,16 @@
   },
 ];
 
-/** What cold upstreams of the bench tolerate; none of them says that it is cold. */
+/** Warm-up settings of the services; none of their upstreams reports that it is cold. */
 export const WARM_UP: warmUpBounds.WarmUp = { requestsPerSecond: 5, duration: 1_000 };
 
-/** The services of the bench. */
+/** Services behind the routes. */
 export const services: readonly trafficTypes.Service[] = [
   { name: 'llm', maximumConnections: 200, warmUp: WARM_UP, engine: relayBench.engineTraits },
   { name: 'app', maximumConnections: 100, warmUp: WARM_UP },
 ];
 
-/** The client accounts of the bench; the key of each is its name. */
+/** Client accounts; the key of each is its name. */
 export const accounts: readonly trafficTypes.Account[] = ['school-1', 'school-2'].map((name) => ({
   name,
   keys: [name],
--- a/packages/kumquatfront/src/quarantine/crashDetector.spec.ts
+++ b/packages/kumquatfront/src/quarantine/crashDetector.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Which broken runs count as the end of their instance, and which do not.
+ * Which broken runs are reported as crashes of their instance, and which are not.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -11,13 +11,13 @@
 import type * as relayTypes from '../relay/types.js';
 import * as crashDetector from './crashDetector.js';
 
-/** A detector over instances that answer a check as told. */
-class Bench {
+/** A detector whose connection checks return a configurable result. */
+class Harness {
   readonly time = new virtualTime.VirtualTime();
   readonly crashes: string[] = [];
-  readonly ended: string[] = [];
+  readonly instancesDown: string[] = [];
   sign: relayTypes.ConnectionSign = 'refused';
-  hasGivenNotice = false;
+  isTerminating = false;
   checks = 0;
   readonly detector = new crashDetector.CrashDetector({
     timers: timerService.create(this.time.clock, this.time),
@@ -28,135 +28,135 @@
         done(sign);
       });
     },
-    hasGivenNotice: () => this.hasGivenNotice,
+    hasGivenNotice: () => this.isTerminating,
     onCrash: ({ content, instance, sign }) => {
       this.crashes.push(`${content} ${instance} ${sign}`);
     },
-    onEnded: (instance) => this.ended.push(instance),
+    onEnded: (instance) => this.instancesDown.push(instance),
   });
 
   instance(identity = 'a'): instanceView.Instance {
     return { ...instanceBench.announcement(identity), firstAt: 0, coldUntil: 0 };
   }
 
-  /** A run of a content on instance `a` that breaks off. */
+  /** Starts and breaks a run of a content on instance `a`. */
   breakOff(content: string): void {
     const run = this.detector.begun('a', content, 'r');
     this.detector.broke(this.instance(), run, () => undefined);
   }
 
-  /** News of instance `a`. */
-  hear(event: instanceView.InstanceEvent, state: 'ready' | 'leaving' = 'ready'): void {
+  /** Reports a change of instance `a`. */
+  changeInstance(event: instanceView.InstanceEvent, state: 'ready' | 'leaving' = 'ready'): void {
     this.detector.onInstance({ instance: { ...this.instance(), state }, event });
   }
 }
 
-void test.test('a broken run counts where nothing listens at its instance any more', () => {
-  const bench = new Bench();
-  bench.breakOff('x');
-  bench.time.advance(100);
-  assert.deepEqual(bench.crashes, ['x a refusesConnections']);
+void test.test('a broken run is a crash if its instance refuses connections', () => {
+  const harness = new Harness();
+  harness.breakOff('x');
+  harness.time.advance(100);
+  assert.deepEqual(harness.crashes, ['x a refusesConnections']);
 });
 
-// An answer was lost, or connections were reset; the instance lives.
-void test.test('a broken run does not count where its instance accepts connections', () => {
-  const bench = new Bench();
-  bench.sign = 'accepted';
-  bench.breakOff('x');
-  bench.time.advance(100);
-  bench.hear('gone');
-  assert.deepEqual(bench.crashes, []);
+// The answer was lost or connections were reset, but the instance still runs.
+void test.test('a broken run is no crash if its instance accepts connections', () => {
+  const harness = new Harness();
+  harness.sign = 'accepted';
+  harness.breakOff('x');
+  harness.time.advance(100);
+  harness.changeInstance('gone');
+  assert.deepEqual(harness.crashes, []);
 });
 
-// The instance gave notice, and ended with what was left on it.
-void test.test('the end of an instance that gave notice counts against nobody', () => {
-  const bench = new Bench();
-  bench.hasGivenNotice = true;
-  bench.breakOff('x');
-  bench.detector.begun('a', 'y', 'r');
-  bench.time.advance(100);
-  bench.hear('gone', 'leaving');
-  assert.deepEqual(bench.crashes, []);
-  assert.equal(bench.checks, 0);
+// The instance sent a termination notice and exited with runs still on it.
+void test.test('the exit of an instance after its termination notice is no crash', () => {
+  const harness = new Harness();
+  harness.isTerminating = true;
+  harness.breakOff('x');
+  harness.detector.begun('a', 'y', 'r');
+  harness.time.advance(100);
+  harness.changeInstance('gone', 'leaving');
+  assert.deepEqual(harness.crashes, []);
+  assert.equal(harness.checks, 0);
 });
 
-// Its VM went dark: connections hang, a run is given up for its silence, and control drops it seconds later.
-void test.test('a silent instance counts once control has dropped it, with what still runs there', () => {
-  const bench = new Bench();
-  bench.sign = 'unknown';
-  bench.breakOff('x');
-  bench.detector.begun('a', 'y', 'r');
-  bench.time.advance(5_000);
-  assert.deepEqual(bench.crashes, []);
-  bench.hear('gone');
-  assert.deepEqual(bench.crashes, ['x a fellSilent', 'y a fellSilent']);
+// Its VM became unreachable: connections hang, a run is aborted as idle, and control drops the instance seconds later.
+void test.test('an unresponsive instance has crashed once control drops it, with all of its runs', () => {
+  const harness = new Harness();
+  harness.sign = 'unknown';
+  harness.breakOff('x');
+  harness.detector.begun('a', 'y', 'r');
+  harness.time.advance(5_000);
+  assert.deepEqual(harness.crashes, []);
+  harness.changeInstance('gone');
+  assert.deepEqual(harness.crashes, ['x a fellSilent', 'y a fellSilent']);
 });
 
-void test.test('an instance that started anew has ended', () => {
-  const bench = new Bench();
-  bench.sign = 'unknown';
-  bench.breakOff('x');
-  bench.time.advance(500);
-  bench.hear('replaced');
-  assert.deepEqual(bench.crashes, ['x a startedAnew']);
+void test.test('an instance that restarted has crashed', () => {
+  const harness = new Harness();
+  harness.sign = 'unknown';
+  harness.breakOff('x');
+  harness.time.advance(500);
+  harness.changeInstance('replaced');
+  assert.deepEqual(harness.crashes, ['x a startedAnew']);
 });
 
-// A link was cut for a moment; nothing is known of the instance, which ends a minute later for reasons of its own.
-void test.test('a run that broke long before is no cause', () => {
-  const bench = new Bench();
-  bench.sign = 'unknown';
-  bench.breakOff('x');
-  bench.time.advance(60_000);
-  bench.hear('gone');
-  assert.deepEqual(bench.crashes, []);
-  bench.detector.expire(bench.time.now());
+// A short network partition broke the run; the instance crashed a minute later for another reason.
+void test.test('a run that broke long before a crash is not reported', () => {
+  const harness = new Harness();
+  harness.sign = 'unknown';
+  harness.breakOff('x');
+  harness.time.advance(60_000);
+  harness.changeInstance('gone');
+  assert.deepEqual(harness.crashes, []);
+  harness.detector.expire(harness.time.now());
 });
 
-// A run that was answered, or cancelled by its caller, has nothing to do with what comes later.
-void test.test('a run that ended well does not count', () => {
-  const bench = new Bench();
-  const run = bench.detector.begun('a', 'x', 'r');
-  bench.detector.ended('a', run);
-  bench.hear('gone');
-  assert.deepEqual(bench.crashes, []);
+// The run was answered or cancelled by its caller before the crash.
+void test.test('a run that finished before a crash is not reported', () => {
+  const harness = new Harness();
+  const run = harness.detector.begun('a', 'x', 'r');
+  harness.detector.ended('a', run);
+  harness.changeInstance('gone');
+  assert.deepEqual(harness.crashes, []);
 });
 
-// Eight runs break with their instance; it is asked once, and whoever waits is told once.
-void test.test('an instance is checked once for all that broke there', () => {
-  const bench = new Bench();
+// Eight runs break with their instance: one check, and one callback for each run.
+void test.test('an instance is checked once for all of its broken runs', () => {
+  const harness = new Harness();
   let told = 0;
   for (let index = 0; index < 8; index += 1) {
-    const run = bench.detector.begun('a', `x${index}`, 'r');
-    bench.detector.broke(bench.instance(), run, () => {
+    const run = harness.detector.begun('a', `x${index}`, 'r');
+    harness.detector.broke(harness.instance(), run, () => {
       told += 1;
     });
   }
-  bench.time.advance(1_000);
-  assert.deepEqual([bench.checks, bench.crashes.length, told], [1, 8, 8]);
+  harness.time.advance(1_000);
+  assert.deepEqual([harness.checks, harness.crashes.length, told], [1, 8, 8]);
 });
 
-// Requests find its port closed, with nothing of theirs running there.
-void test.test('an instance that cannot be reached is checked, and told as ended', () => {
-  const bench = new Bench();
-  bench.detector.unreachable(bench.instance());
-  bench.time.advance(100);
-  assert.deepEqual([bench.ended, bench.crashes], [['a'], []]);
+// A request found the port closed, and no run was on the instance.
+void test.test('an unreachable instance is checked and reported as down', () => {
+  const harness = new Harness();
+  harness.detector.instanceUnreachable(harness.instance());
+  harness.time.advance(100);
+  assert.deepEqual([harness.instancesDown, harness.crashes], [['a'], []]);
 });
 
-// Behind a cut the check has no answer for a long time; an exchange does not wait for it.
-void test.test('nobody waits long for a check', () => {
-  const bench = new Bench();
+// In a network partition a check may hang; an exchange must not wait for it.
+void test.test('the wait for a connection check is bounded', () => {
+  const harness = new Harness();
   let toldAt: number | undefined;
   const slow = new crashDetector.CrashDetector({
-    timers: timerService.create(bench.time.clock, bench.time),
+    timers: timerService.create(harness.time.clock, harness.time),
     check: () => undefined,
     hasGivenNotice: () => false,
     onCrash: () => undefined,
     onEnded: () => undefined,
   });
-  slow.broke(bench.instance(), slow.begun('a', 'x', 'r'), () => {
-    toldAt = bench.time.now();
+  slow.broke(harness.instance(), slow.begun('a', 'x', 'r'), () => {
+    toldAt = harness.time.now();
   });
-  bench.time.advance(1_000);
+  harness.time.advance(1_000);
   assert.ok(toldAt !== undefined && toldAt <= 100);
 });
--- a/packages/kumquatfront/src/quarantine/crashDetector.ts
+++ b/packages/kumquatfront/src/quarantine/crashDetector.ts
@@ -1,71 +1,65 @@
 /**
- * Finds out which upstream instances have ended, and what ran on them then, from what one entry sees.
+ * Detects crashes of upstream instances, and which contents ran on them, from the observations of one entry.
  *
- * A run that breaks off says little: an answer may be lost, a connection reset, a link cut, and an instance that gave
- * notice ends with whatever is left on it. So a run that broke off, or was given up for its silence, only waits here;
- * it is held against its content once the instance is known to have ended without notice: nothing listens at its
- * address any more, it has started anew, or it has fallen silent towards control. An instance that accepts a
- * connection lives, and the matter is dropped.
+ * A broken run alone is no evidence of a crash: the connection may have failed, or the instance may have shut down
+ * after a termination notice. A run that broke or timed out idle is therefore kept until the instance is confirmed to
+ * have crashed: it refuses connections, has restarted, or no longer reports to control. If the instance accepts a
+ * connection, its broken runs are discarded.
  */
 import type * as instanceView from '../instances/instanceView.js';
 import type * as ports from '../kernel/ports.js';
 import type * as timerService from '../kernel/timerService.js';
 import type * as relayTypes from '../relay/types.js';
 
-/** A process that dies closes its connections and its port in the same moment; this lets both be done. */
-const CHECK_AFTER: ports.Milliseconds = 3;
+/** Delay before a connection check; lets a process that exits close its listening port after its connections. */
+const CHECK_DELAY: ports.Milliseconds = 3;
 
-/**
- * Whoever waits for a check waits this long at most: several round trips within a region. A check that takes longer
- * meets a cut, and what comes of it counts all the same.
- */
-const WAITED_FOR: ports.Milliseconds = 60;
+/** Maximum time that an exchange waits for a connection check. A later result is still evaluated. */
+const MAX_CHECK_WAIT: ports.Milliseconds = 60;
 
-/**
- * A broken run waits this long for a sign: control drops an instance after five seconds of silence, and tells entries
- * within one; an announcement may have been on its way when the instance ended.
- */
-const WAITS_FOR_SIGN: ports.Milliseconds = 8_000;
+/** How long a broken run is kept for confirmation; longer than control takes to drop an instance and notify entries. */
+const CONFIRMATION_TIMEOUT: ports.Milliseconds = 8_000;
 
-/** How it became known that an instance has ended. */
-export type EndSign = 'refusesConnections' | 'startedAnew' | 'fellSilent';
+/** Evidence by which the crash of an instance was confirmed. */
+export type CrashSign = 'refusesConnections' | 'startedAnew' | 'fellSilent';
 
-/** The end of an instance under a content. */
+/** A confirmed crash of an instance while it ran a content. */
 export interface DetectedCrash {
   readonly content: string;
   readonly instance: string;
-  readonly sign: EndSign;
-  /** Identity of the attempt that ran there. */
+  readonly sign: CrashSign;
+  /** Identity of the attempt that ran on the instance. */
   readonly request: string;
 }
 
-/** An upstream as far as the detector needs it. */
+/** The attributes of an upstream instance that a connection check needs. */
 export interface CheckedInstance {
-  /** New at each start of the upstream. */
+  /** Differs after each start of the upstream. */
   readonly identity: string;
   readonly address: string;
 }
 
-/** What the detector is made from. */
+/** Dependencies and callbacks of the detector. */
 export interface CrashDetectorOptions {
   readonly timers: timerService.TimerService;
+  /** Tries to connect to an address. */
   readonly check: (address: string, done: (sign: relayTypes.ConnectionSign) => void) => void;
-  /** True where an instance is known to have given notice. */
+  /** Returns true if a termination notice of the instance is known. */
   readonly hasGivenNotice: (identity: string) => boolean;
   readonly onCrash: (crash: DetectedCrash) => void;
-  /** Nothing listens at an instance's address any more. */
+  /** Called when the address of an instance refuses connections. */
   readonly onEnded: (instance: string) => void;
 }
 
 interface Run {
   readonly content: string;
   readonly request: string;
-  /** When it broke off or was given up; undefined while it runs. */
+  /** Time at which the run broke or was aborted as idle; undefined while it runs. */
   readonly brokeAt: ports.Milliseconds | undefined;
 }
 
-/** Calls back once, after the longest time that anybody waits for a check at the latest. */
-function once(timers: timerService.TimerService, done: () => void): () => void {
+/** Wraps a callback so that it runs exactly once: when called, or after `MAX_CHECK_WAIT`. */
+function onceWithTimeout(timers: timerService.TimerService, done: () => void): () => void {
   let called = false;
   const call = (): void => {
     if (!called) {
@@ -74,64 +68,64 @@
       done();
     }
   };
-  const cancel = timers.after(WAITED_FOR, call);
+  const cancel = timers.after(MAX_CHECK_WAIT, call);
   return call;
 }
 
-/** The detector; see the module comment. */
+/** Detects crashes of upstream instances; see the module comment. */
 export class CrashDetector {
   private readonly options: CrashDetectorOptions;
-  /** By instance, then by a number of the run. */
+  /** Runs by instance identity, then by run identifier. */
   private readonly runs = new Map<string, Map<number, Run>>();
-  /** Instances that are being checked, with those who wait for it. */
+  /** Callbacks waiting for a pending connection check, by instance identity. */
   private readonly checking = new Map<string, (() => void)[]>();
-  private started = 0;
+  private lastRunId = 0;
 
   constructor(options: CrashDetectorOptions) {
     this.options = options;
   }
 
-  /** Notes that a run begins; the number stands for it. */
+  /** Records the start of a run and returns its identifier. */
   begun(instance: string, content: string, request: string): number {
-    this.started += 1;
+    this.lastRunId += 1;
     const runs = this.runs.get(instance) ?? new Map<number, Run>();
     this.runs.set(instance, runs);
-    runs.set(this.started, { content, request, brokeAt: undefined });
-    return this.started;
+    runs.set(this.lastRunId, { content, request, brokeAt: undefined });
+    return this.lastRunId;
   }
 
-  /** Notes that a run has ended in a way that says nothing against its content: answered, or cancelled. */
-  ended(instance: string, run: number): void {
+  /** Records the end of a run that is no evidence of a crash: it was answered or cancelled. */
+  ended(instance: string, runId: number): void {
     const runs = this.runs.get(instance);
-    runs?.delete(run);
+    runs?.delete(runId);
     if (runs?.size === 0) {
       this.runs.delete(instance);
     }
   }
 
   /**
-   * Notes that a run broke off, or was given up for its silence, and looks whether its instance lives.
+   * Records that a run broke or was aborted as idle, and checks whether its instance still accepts connections.
    *
-   * @param done - called once that is known, or at once where it need not be asked
+   * @param done - called after the check, or synchronously if none is needed
    */
-  broke(instance: CheckedInstance, run: number, done: () => void): void {
+  broke(instance: CheckedInstance, runId: number, done: () => void): void {
     const { identity } = instance;
-    const known = this.runs.get(identity)?.get(run);
+    const known = this.runs.get(identity)?.get(runId);
     if (known === undefined || this.options.hasGivenNotice(identity)) {
-      this.ended(identity, run);
+      this.ended(identity, runId);
       done();
       return;
     }
-    this.runs.get(identity)?.set(run, { ...known, brokeAt: this.options.timers.now() });
-    this.checkSoon(instance, once(this.options.timers, done));
+    this.runs.get(identity)?.set(runId, { ...known, brokeAt: this.options.timers.now() });
+    this.scheduleCheck(instance, onceWithTimeout(this.options.timers, done));
   }
 
-  /** Looks whether an instance lives that could not be reached: it may have ended while nothing ran there. */
-  unreachable(instance: CheckedInstance): void {
-    this.checkSoon(instance, () => undefined);
+  /** Checks an instance that refused a connection; it may have crashed while no run of this entry was on it. */
+  instanceUnreachable(instance: CheckedInstance): void {
+    this.scheduleCheck(instance, () => undefined);
   }
 
-  private checkSoon(instance: CheckedInstance, done: () => void): void {
+  private scheduleCheck(instance: CheckedInstance, done: () => void): void {
     const { timers, check } = this.options;
     const { identity } = instance;
     const waiting = this.checking.get(identity);
@@ -140,39 +134,39 @@
       return;
     }
     this.checking.set(identity, [done]);
-    timers.after(CHECK_AFTER, () => {
+    timers.after(CHECK_DELAY, () => {
       check(instance.address, (sign) => {
-        const told = this.checking.get(identity) ?? [];
+        const callbacks = this.checking.get(identity) ?? [];
         this.checking.delete(identity);
         if (sign === 'refused') {
           this.options.onEnded(identity);
-          this.confirm(identity, 'refusesConnections');
+          this.reportCrashes(identity, 'refusesConnections');
         } else if (sign === 'accepted') {
-          this.dropBroken(identity);
+          this.discardBrokenRuns(identity);
         }
-        for (const tell of told) {
-          tell();
+        for (const callback of callbacks) {
+          callback();
         }
       });
     });
   }
 
-  /** Called with news of an instance. */
+  /** Handles a change of an instance as published by control. */
   onInstance({ instance, event }: instanceView.InstanceChange): void {
     const { identity, state } = instance;
     if (event === 'replaced') {
-      this.confirm(identity, 'startedAnew');
+      this.reportCrashes(identity, 'startedAnew');
     } else if (event === 'gone' && state === 'ready') {
-      this.confirm(identity, 'fellSilent');
+      this.reportCrashes(identity, 'fellSilent');
     } else if (event === 'gone') {
       this.runs.delete(identity);
     }
   }
 
-  private confirm(instance: string, sign: EndSign): void {
+  private reportCrashes(instance: string, sign: CrashSign): void {
     const runs = [...(this.runs.get(instance)?.values() ?? [])];
     this.runs.delete(instance);
-    const oldest = this.options.timers.now() - WAITS_FOR_SIGN;
+    const oldest = this.options.timers.now() - CONFIRMATION_TIMEOUT;
     for (const { content, request, brokeAt } of runs) {
       if (brokeAt === undefined || brokeAt > oldest) {
         this.options.onCrash({ content, instance, sign, request });
@@ -180,20 +174,20 @@
     }
   }
 
-  private dropBroken(instance: string): void {
-    for (const [run, { brokeAt }] of this.runs.get(instance) ?? []) {
+  private discardBrokenRuns(instance: string): void {
+    for (const [runId, { brokeAt }] of this.runs.get(instance) ?? []) {
       if (brokeAt !== undefined) {
-        this.ended(instance, run);
+        this.ended(instance, runId);
       }
     }
   }
 
-  /** Drops what has waited for its sign in vain. */
+  /** Discards broken runs whose crash was not confirmed in time. */
   expire(now: number): void {
     for (const [instance, runs] of this.runs) {
-      for (const [run, { brokeAt }] of runs) {
-        if (brokeAt !== undefined && now - brokeAt > WAITS_FOR_SIGN) {
-          this.ended(instance, run);
+      for (const [runId, { brokeAt }] of runs) {
+        if (brokeAt !== undefined && now - brokeAt > CONFIRMATION_TIMEOUT) {
+          this.ended(instance, runId);
         }
       }
     }
--- a/packages/kumquatfront/src/quarantine/crashLedger.spec.ts
+++ b/packages/kumquatfront/src/quarantine/crashLedger.spec.ts
@@ -1,6 +1,6 @@
 /**
- * What is held against contents: when it suffices, what voids it, what it lapses to, and how processes come to the same
- * verdict whatever they hear first.
+ * When crash records lead to a quarantine, when they are voided or expire, and that merging them gives the same verdict
+ * in any order.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -12,113 +12,119 @@
 
 const MINUTE = 60_000;
 
-function holdAll(ledger: crashLedger.CrashLedger, content: string, instances: readonly string[]): void {
+function recordCrashes(
+  store: crashLedger.CrashRecordStore,
+  content: string,
+  instances: readonly string[],
+): void {
   instances.forEach((instance, index) => {
-    ledger.hold(content, instance, index);
+    store.recordCrash(content, instance, index);
   });
 }
 
-/** A ledger with a quarantined content, and what it told of it. */
-function quarantined(): { ledger: crashLedger.CrashLedger; told: string[] } {
-  const told: string[] = [];
-  const ledger = new crashLedger.CrashLedger(({ content, change }) => told.push(`${content} ${change}`));
-  holdAll(ledger, 'x', ['a', 'b', 'c']);
-  return { ledger, told };
+/** Creates a store with one quarantined content, and a list of its reported changes. */
+function createQuarantined(): { store: crashLedger.CrashRecordStore; changes: string[] } {
+  const changes: string[] = [];
+  const store = new crashLedger.CrashRecordStore(({ content, change }) =>
+    changes.push(`${content} ${change}`),
+  );
+  recordCrashes(store, 'x', ['a', 'b', 'c']);
+  return { store, changes };
 }
 
-void test.test('three ends quarantine a content, on three instances', () => {
-  const ledger = new crashLedger.CrashLedger();
-  holdAll(ledger, 'x', ['a', 'b', 'a', 'b']);
-  assert.equal(ledger.verdictOf('x'), 'suspected');
-  ledger.hold('x', 'c', 9);
-  assert.equal(ledger.verdictOf('x'), 'quarantined');
-  assert.equal(ledger.verdictOf('y'), 'free');
+void test.test('crashes of three different instances quarantine a content', () => {
+  const store = new crashLedger.CrashRecordStore();
+  recordCrashes(store, 'x', ['a', 'b', 'a', 'b']);
+  assert.equal(store.verdictOf('x'), 'suspected');
+  store.recordCrash('x', 'c', 9);
+  assert.equal(store.verdictOf('x'), 'quarantined');
+  assert.equal(store.verdictOf('y'), 'free');
 });
 
-// An upstream answered it between: it does not end each that runs it.
-void test.test('an answer voids the ends before it', () => {
-  const ledger = new crashLedger.CrashLedger();
-  holdAll(ledger, 'x', ['a', 'b']);
-  assert.equal(ledger.answered('x', 10), true);
-  assert.equal(ledger.verdictOf('x'), 'free');
-  ledger.hold('x', 'c', 11);
-  assert.equal(ledger.verdictOf('x'), 'suspected');
+// A content that an upstream answered does not crash every upstream that runs it.
+void test.test('an answer voids earlier crashes', () => {
+  const store = new crashLedger.CrashRecordStore();
+  recordCrashes(store, 'x', ['a', 'b']);
+  assert.equal(store.recordAnswer('x', 10), true);
+  assert.equal(store.verdictOf('x'), 'free');
+  store.recordCrash('x', 'c', 11);
+  assert.equal(store.verdictOf('x'), 'suspected');
 });
 
-// A run that was under way when the third end became known is answered.
+// A run that was in progress at the third crash is answered.
 void test.test('an answer lifts a quarantine', () => {
-  const { ledger, told } = quarantined();
-  ledger.answered('x', 10);
-  assert.equal(ledger.verdictOf('x'), 'free');
-  assert.deepEqual(told, ['x quarantined', 'x answered']);
+  const { store, changes } = createQuarantined();
+  store.recordAnswer('x', 10);
+  assert.equal(store.verdictOf('x'), 'free');
+  assert.deepEqual(changes, ['x quarantined', 'x answered']);
 });
 
-// A bystander was under two of the ends of a content that is quarantined now, and ends with one more upstream.
-void test.test('an end that a quarantined content explains counts against no other', () => {
-  const { ledger } = quarantined();
-  holdAll(ledger, 'bystander', ['a', 'b', 'd']);
-  assert.equal(ledger.verdictOf('bystander'), 'suspected');
+// Another content ran beside the quarantined one at two of its crashes, and on one more instance that crashed.
+void test.test('a crash explained by a quarantined content is not counted for other contents', () => {
+  const { store } = createQuarantined();
+  recordCrashes(store, 'bystander', ['a', 'b', 'd']);
+  assert.equal(store.verdictOf('bystander'), 'suspected');
 });
 
-void test.test('ends that are far apart do not count together', () => {
-  const ledger = new crashLedger.CrashLedger();
-  holdAll(ledger, 'x', ['a', 'b']);
-  ledger.expire(11 * MINUTE);
-  ledger.hold('x', 'c', 11 * MINUTE);
-  assert.equal(ledger.verdictOf('x'), 'suspected');
+void test.test('crashes that are far apart are not counted together', () => {
+  const store = new crashLedger.CrashRecordStore();
+  recordCrashes(store, 'x', ['a', 'b']);
+  store.expire(11 * MINUTE);
+  store.recordCrash('x', 'c', 11 * MINUTE);
+  assert.equal(store.verdictOf('x'), 'suspected');
 });
 
-// Upstreams may have been mended, or the verdict was wrong: it runs out. Where it was right, one upstream tells.
-void test.test('a quarantine runs out, and one end brings it back for longer', () => {
-  const { ledger, told } = quarantined();
-  const end = crashLedger.FIRST_QUARANTINE + 2;
-  ledger.expire(end - 1);
-  assert.equal(ledger.verdictOf('x'), 'quarantined');
-  ledger.expire(end);
-  assert.equal(ledger.verdictOf('x'), 'free');
-  ledger.hold('x', 'd', end + MINUTE);
-  assert.equal(ledger.verdictOf('x'), 'quarantined');
-  ledger.expire(end + 5 * crashLedger.FIRST_QUARANTINE);
-  assert.equal(ledger.verdictOf('x'), 'quarantined');
-  assert.deepEqual(told, ['x quarantined', 'x lapsed', 'x quarantined']);
+// The upstreams may have been repaired, or the verdict may have been wrong; one more crash confirms it.
+void test.test('a quarantine expires, and one more crash starts a longer one', () => {
+  const { store, changes } = createQuarantined();
+  const end = crashLedger.FIRST_QUARANTINE_DURATION + 2;
+  store.expire(end - 1);
+  assert.equal(store.verdictOf('x'), 'quarantined');
+  store.expire(end);
+  assert.equal(store.verdictOf('x'), 'free');
+  store.recordCrash('x', 'd', end + MINUTE);
+  assert.equal(store.verdictOf('x'), 'quarantined');
+  store.expire(end + 5 * crashLedger.FIRST_QUARANTINE_DURATION);
+  assert.equal(store.verdictOf('x'), 'quarantined');
+  assert.deepEqual(changes, ['x quarantined', 'x lapsed', 'x quarantined']);
 });
 
-// A peer whose clock is a little behind tells of a quarantine that has run out here.
-void test.test('what has run out is not brought back by hearsay', () => {
-  const { ledger } = quarantined();
-  const end = crashLedger.FIRST_QUARANTINE + 2;
-  const late = ledger.caseOf('x', end - 1);
+// A peer whose clock is slightly behind publishes a quarantine that has already expired here.
+void test.test('an expired quarantine is not restored by the record of a peer', () => {
+  const { store } = createQuarantined();
+  const end = crashLedger.FIRST_QUARANTINE_DURATION + 2;
+  const late = store.recordOf('x', end - 1);
   assert.ok(late !== undefined);
-  ledger.expire(end);
-  ledger.merge(late, end);
-  assert.equal(ledger.verdictOf('x'), 'free');
+  store.expire(end);
+  store.merge(late, end);
+  assert.equal(store.verdictOf('x'), 'free');
 });
 
-// Each of ten thousand contents ends one upstream: memory stays bounded, and a content that is quarantined stays.
-void test.test('a flood of contents displaces only its like', () => {
-  const { ledger } = quarantined();
+// Ten thousand contents crash one upstream each: the store stays bounded and keeps the quarantined content.
+void test.test('many suspected contents do not evict a quarantined one', () => {
+  const { store } = createQuarantined();
   for (let index = 0; index < 10_000; index += 1) {
-    ledger.hold(`flood ${index}`, `i${index}`, 10 + index);
+    store.recordCrash(`flood ${index}`, `i${index}`, 10 + index);
   }
-  assert.equal(ledger.verdictOf('x'), 'quarantined');
-  assert.ok(ledger.newsSince(0, 20_000).cases.length <= 2_000);
+  assert.equal(store.verdictOf('x'), 'quarantined');
+  assert.ok(store.updatesSince(0, 20_000).cases.length <= 2_000);
 });
 
-void test.test('news since a revision are the cases that changed', () => {
-  const { ledger } = quarantined();
-  const { revision } = ledger;
-  ledger.hold('y', 'd', 5);
-  const news = ledger.newsSince(revision, 5);
+void test.test('updates since a revision contain the records that changed', () => {
+  const { store } = createQuarantined();
+  const { revision } = store;
+  store.recordCrash('y', 'd', 5);
+  const update = store.updatesSince(revision, 5);
   assert.deepEqual(
-    news.cases.map(({ content }) => content),
+    update.cases.map(({ content }) => content),
     ['y'],
   );
-  assert.equal(ledger.hold('y', 'd', 6), false);
-  assert.equal(ledger.revision, news.revision);
+  assert.equal(store.recordCrash('y', 'd', 6), false);
+  assert.equal(store.revision, update.revision);
 });
 
-// Entries and replicas hear of ends and answers in any order, and more than once.
-void test.test('all who hear the same come to the same verdict', () => {
+// Entries and replicas receive crashes and answers in any order, and repeatedly.
+void test.test('merging the same records gives the same verdict in any order', () => {
   const NOW = 1_000;
   const crash = fc.record({
     instance: fc.constantFrom('a', 'b', 'c', 'd'),
@@ -133,26 +139,26 @@
     },
     { requiredKeys: ['content', 'crashes', 'lapses'] },
   );
-  // One instance ends once: all who tell of it tell of the same moment.
+  // Each instance crashes once, so all records have the same time for it.
   const agreeing = fc.array(record, { maxLength: 8 }).map((records) => {
     const ages = new Map(
       records.flatMap(({ crashes }) => crashes.map(({ instance, age }) => [instance, age])),
     );
-    return records.map((told) => ({
-      ...told,
-      crashes: told.crashes.map(({ instance }) => ({ instance, age: ages.get(instance) ?? 0 })),
+    return records.map((crashRecord) => ({
+      ...crashRecord,
+      crashes: crashRecord.crashes.map(({ instance }) => ({ instance, age: ages.get(instance) ?? 0 })),
     }));
   });
   fc.assert(
-    fc.property(agreeing, fc.nat(), (records, turn) => {
-      const inOrder = new crashLedger.CrashLedger();
-      const turned = new crashLedger.CrashLedger();
-      const split = records.length === 0 ? 0 : turn % records.length;
-      records.forEach((told) => inOrder.merge(told, NOW));
-      [...records.slice(split), ...records.slice(0, split), ...records].forEach((told) =>
-        turned.merge(told, NOW),
+    fc.property(agreeing, fc.nat(), (records, offset) => {
+      const inOrder = new crashLedger.CrashRecordStore();
+      const shuffled = new crashLedger.CrashRecordStore();
+      const split = records.length === 0 ? 0 : offset % records.length;
+      records.forEach((crashRecord) => inOrder.merge(crashRecord, NOW));
+      [...records.slice(split), ...records.slice(0, split), ...records].forEach((crashRecord) =>
+        shuffled.merge(crashRecord, NOW),
       );
-      assert.equal(turned.verdictOf('x'), inOrder.verdictOf('x'));
+      assert.equal(shuffled.verdictOf('x'), inOrder.verdictOf('x'));
     }),
     { seed: 29 },
   );
--- a/packages/kumquatfront/src/quarantine/crashLedger.ts
+++ b/packages/kumquatfront/src/quarantine/crashLedger.ts
@@ -1,163 +1,159 @@
 /**
- * What one process knows of contents under which upstreams have ended, and its verdict on each.
+ * Bounded in-memory store of crash records by content, and the verdict that follows from each.
  *
- * Failure: a request that ends each upstream which begins to run it is resumed elsewhere, comes again from its caller,
- * and again from others; every entry judges its own attempt alone, and within seconds no upstream is left for anybody.
- * Three ends under one content quarantine it. Why three, and why few are held by chance: an end is held against all
- * that ran on the upstream, but chance must hit one content three times within minutes, on three instances, without
- * one answer between; an answer voids all ends before it, and an end that a quarantined content explains counts
- * against no other.
+ * Guards against a request that crashes every upstream that runs it: resumed and retried without a shared record, it
+ * takes down all upstreams within seconds. A crash is recorded for every content that ran on the instance; crashes of
+ * three instances quarantine a content. Contents that merely ran beside it are rarely affected: an answer voids earlier
+ * crashes, and a crash explained by one quarantined content is not counted for others.
  *
- * Processes tell each other whole cases, which are merged: whatever order they come in, and however often, all come
- * to the same verdict. Everything lapses, and its size is bounded.
+ * Processes exchange full records and merge them; the verdict does not depend on order or repetition. All records
+ * expire.
  */
 import type * as ports from '../kernel/ports.js';
 import type * as types from './types.js';
 
-/** Upstreams that must have ended under a content: two happen by chance when several fail at once. */
+/** Instances that must crash before a content is quarantined. Unrelated failures may easily coincide twice. */
 export const CRASHES_TO_QUARANTINE = 3;
 
-/** After a quarantine has run out a single end brings it back: a mistaken one is over, a just one costs one upstream. */
-const CRASHES_TO_RELAPSE = 1;
+/** After a quarantine has expired, a single crash quarantines the content again. */
+const CRASHES_TO_REQUARANTINE = 1;
 
-/** Ends count together while the newest is this old: callers that retry by a backoff come back within minutes. */
-const EVIDENCE_KEPT: ports.Milliseconds = 600_000;
+/** How long crashes are kept after the last change of a record; covers callers that retry with a backoff. */
+const CRASH_RETENTION: ports.Milliseconds = 600_000;
 
-/** The first quarantine lasts this long, about the time in which a fault of the upstreams' software is noticed. */
-export const FIRST_QUARANTINE: ports.Milliseconds = 3_600_000;
+/** Duration of the first quarantine of a content. */
+export const FIRST_QUARANTINE_DURATION: ports.Milliseconds = 3_600_000;
 
-/** Each later one lasts this many times longer: the third relapse comes two days after the first end. */
-const QUARANTINE_GROWTH = 6;
+/** Factor by which each further quarantine lasts longer than the one before. */
+const QUARANTINE_GROWTH_FACTOR = 6;
 
-/** A content that has been quarantined is remembered for this long after its last end. */
-const LAPSES_KEPT: ports.Milliseconds = 48 * 3_600_000;
+/** How long a record with an expired quarantine is kept after its last change. */
+const EXPIRED_QUARANTINE_RETENTION: ports.Milliseconds = 48 * 3_600_000;
 
-/** Cases kept at most, some 300 bytes each; a flood of contents that end one upstream each displaces only its like. */
-const MOST_CASES = 2_000;
+/** Maximum number of records; beyond it, records that are not quarantined are evicted first. */
+const MAX_RECORDS = 2_000;
 
-/** Ends kept for one content: more say nothing new. */
-const MOST_CRASHES = 8;
+/** Maximum number of crashes kept for one content. */
+const MAX_CRASHES_PER_RECORD = 8;
 
-interface Case {
+interface StoredRecord {
   readonly content: string;
-  /** Moments by instance. */
+  /** Crash times by instance. */
   readonly crashes: Map<string, ports.Milliseconds>;
-  /** Everything up to this moment is void. */
+  /** Crashes up to this time are void. */
   voidedAt: ports.Milliseconds;
   quarantinedAt: ports.Milliseconds | undefined;
-  /** When it was quarantined by what replicas had agreed on; before all time where it was not. */
+  /** Time at which a quarantine from the replicated log was applied; negative infinity if never. */
   imposedAt: ports.Milliseconds;
-  /** Quarantines that have run out. */
+  /** Number of expired quarantines. */
   lapses: number;
   revision: number;
-  touchedAt: ports.Milliseconds;
+  changedAt: ports.Milliseconds;
 }
 
-/** What happened to the quarantine of a content. */
+/** Start or end of the quarantine of a content. */
 export interface VerdictChange {
   readonly content: string;
   readonly change: 'quarantined' | 'answered' | 'lapsed';
-  /** Instances that ended under it, as far as they are known here. */
+  /** Instances recorded here as crashed while they ran the content. */
   readonly instances: readonly string[];
 }
 
-/** The ledger; see the module comment. */
-export class CrashLedger {
-  private readonly cases = new Map<string, Case>();
+/** Stores crash records and derives verdicts; see the module comment. */
+export class CrashRecordStore {
+  private readonly records = new Map<string, StoredRecord>();
   private currentRevision = 0;
   private readonly onChange: (change: VerdictChange) => void;
 
   /**
-   * @param onChange - called when a content is quarantined or let go again
+   * @param onChange - called when a content is quarantined or released
    */
   constructor(onChange: (change: VerdictChange) => void = () => undefined) {
     this.onChange = onChange;
   }
 
-  /** Grows with every change of any case. */
+  /** Increases with every change of any record. */
   get revision(): number {
     return this.currentRevision;
   }
 
-  /** Contents that are quarantined. */
   get quarantined(): readonly string[] {
-    return [...this.cases.values()]
+    return [...this.records.values()]
       .filter((known) => known.quarantinedAt !== undefined)
       .map(({ content }) => content);
   }
 
   verdictOf(content: string): types.Verdict {
-    const known = this.cases.get(content);
+    const known = this.records.get(content);
     if (known === undefined) {
       return 'free';
     }
     if (known.quarantinedAt !== undefined) {
       return 'quarantined';
     }
-    return this.countOf(known) > 0 ? 'suspected' : 'free';
+    return this.unexplainedCrashesOf(known) > 0 ? 'suspected' : 'free';
   }
 
-  /** Time after which a quarantine runs out; 0 where there is none. */
+  /** Time until the quarantine of a content expires; 0 if it is not quarantined. */
   timeLeft(content: string, now: number): ports.Milliseconds {
-    const known = this.cases.get(content);
-    return known?.quarantinedAt === undefined ? 0 : Math.max(0, this.endsAt(known) - now);
+    const known = this.records.get(content);
+    return known?.quarantinedAt === undefined ? 0 : Math.max(0, this.quarantineEndsAt(known) - now);
   }
 
-  /** Instances that ended under a content. */
+  /** Instances that crashed while they ran a content. */
   instancesOf(content: string): readonly string[] {
-    return [...(this.cases.get(content)?.crashes.keys() ?? [])];
+    return [...(this.records.get(content)?.crashes.keys() ?? [])];
   }
 
-  /** Holds the end of an instance against a content; true where it is news. */
-  hold(content: string, instance: string, now: number): boolean {
+  /** Records that an instance crashed while it ran a content; returns true if the record changed. */
+  recordCrash(content: string, instance: string, now: number): boolean {
     return this.merge({ content, crashes: [{ instance, age: 0 }], lapses: 0 }, now);
   }
 
   /**
-   * Notes that a content was answered in whole. What ends each upstream that begins to run it never is, so nothing
-   * that was held against it stands.
+   * Records a complete answer, which voids all earlier crashes: the content does not crash every upstream that runs it.
    *
-   * @returns true where anything was
+   * @returns true if there were any crashes to void
    */
-  answered(content: string, now: number): boolean {
-    const known = this.cases.get(content);
+  recordAnswer(content: string, now: number): boolean {
+    const known = this.records.get(content);
     if (known === undefined || known.crashes.size === 0) {
       return false;
     }
     return this.merge({ content, crashes: [], voidedAge: 0, lapses: known.lapses }, now);
   }
 
-  /** Quarantines a content whose ends are not known here any more; true where it is news. */
-  impose(content: string, now: number): boolean {
+  /** Quarantines a content from the replicated log, without known crashes; returns true if the record changed. */
+  applyAgreedQuarantine(content: string, now: number): boolean {
     return this.merge({ content, crashes: [], imposedAge: 0, lapses: 0 }, now);
   }
 
-  /** Takes in what another process holds against a content; true where it is news here. */
+  /** Merges a crash record from another process; returns true if the stored record changed. */
   merge(record: types.CaseRecord, now: number): boolean {
-    const known = this.cases.get(record.content) ?? this.create(record.content, now);
-    const before = JSON.stringify(this.contentOf(known));
+    const known = this.records.get(record.content) ?? this.create(record.content, now);
+    const before = JSON.stringify(this.comparableStateOf(known));
     known.voidedAt = Math.max(known.voidedAt, now - (record.voidedAge ?? Number.POSITIVE_INFINITY));
     known.imposedAt = Math.max(known.imposedAt, now - (record.imposedAge ?? Number.POSITIVE_INFINITY));
     known.lapses = Math.max(known.lapses, record.lapses);
     for (const { instance, age } of record.crashes) {
-      if (!known.crashes.has(instance) && known.crashes.size < MOST_CRASHES) {
+      if (!known.crashes.has(instance) && known.crashes.size < MAX_CRASHES_PER_RECORD) {
         known.crashes.set(instance, now - age);
       }
     }
-    this.dropVoid(known);
-    this.judge(known);
-    if (JSON.stringify(this.contentOf(known)) === before) {
+    this.discardVoidedCrashes(known);
+    this.updateVerdict(known);
+    if (JSON.stringify(this.comparableStateOf(known)) === before) {
       return false;
     }
-    known.touchedAt = now;
+    known.changedAt = now;
     this.currentRevision += 1;
     known.revision = this.currentRevision;
-    this.bound();
+    this.evictExcessRecord();
     return true;
   }
 
-  private create(content: string, now: number): Case {
-    const created: Case = {
+  private create(content: string, now: number): StoredRecord {
+    const created: StoredRecord = {
       content,
       crashes: new Map(),
       voidedAt: Number.NEGATIVE_INFINITY,
@@ -165,19 +161,19 @@
       imposedAt: Number.NEGATIVE_INFINITY,
       lapses: 0,
       revision: 0,
-      touchedAt: now,
+      changedAt: now,
     };
-    this.cases.set(content, created);
+    this.records.set(content, created);
     return created;
   }
 
-  /** What makes a case news; moments are left out, since ages are a little off after each way. */
-  private contentOf(known: Case): unknown {
+  /** State whose change counts as a change of the record; excludes times, which shift slightly with each transfer. */
+  private comparableStateOf(known: StoredRecord): unknown {
     const { crashes, quarantinedAt, lapses } = known;
     return [[...crashes.keys()].sort(), quarantinedAt !== undefined, lapses];
   }
 
-  private dropVoid(known: Case): void {
+  private discardVoidedCrashes(known: StoredRecord): void {
     for (const [instance, at] of known.crashes) {
       if (at <= known.voidedAt) {
         known.crashes.delete(instance);
@@ -186,35 +182,35 @@
   }
 
   /**
-   * Quarantines a content, or lets it go where what it rested on has become void. Ends that another quarantined content
-   * explains are not counted for a new quarantine; they do not end one that stands, or two of the same ends would lift
-   * each other.
+   * Quarantines a content, or releases it if its crashes were voided. Crashes explained by another quarantined content
+   * do not count towards a new quarantine, but keep an existing one: otherwise two contents with the same crashes would
+   * release each other.
    */
-  private judge(known: Case): void {
+  private updateVerdict(known: StoredRecord): void {
     const wasQuarantined = known.quarantinedAt !== undefined;
-    const needed = known.lapses > 0 ? CRASHES_TO_RELAPSE : CRASHES_TO_QUARANTINE;
+    const needed = known.lapses > 0 ? CRASHES_TO_REQUARANTINE : CRASHES_TO_QUARANTINE;
     const isImposed = known.imposedAt > known.voidedAt;
-    const stands = wasQuarantined && known.crashes.size >= needed;
-    const isQuarantined = isImposed || stands || this.countOf(known) >= needed;
+    const isStillJustified = wasQuarantined && known.crashes.size >= needed;
+    const isQuarantined = isImposed || isStillJustified || this.unexplainedCrashesOf(known) >= needed;
     if (isQuarantined === wasQuarantined) {
       return;
     }
     known.quarantinedAt = isQuarantined ? Math.max(known.imposedAt, ...known.crashes.values()) : undefined;
-    this.tell(known, isQuarantined ? 'quarantined' : 'answered');
+    this.notifyChange(known, isQuarantined ? 'quarantined' : 'answered');
   }
 
-  private tell(known: Case, change: VerdictChange['change']): void {
+  private notifyChange(known: StoredRecord, change: VerdictChange['change']): void {
     this.onChange({ content: known.content, change, instances: [...known.crashes.keys()] });
   }
 
-  /** Ends that nothing else explains. */
-  private countOf(known: Case): number {
+  /** Number of crashes that no other quarantined content explains. */
+  private unexplainedCrashesOf(known: StoredRecord): number {
     return [...known.crashes.keys()].filter((instance) => !this.isExplained(instance, known)).length;
   }
 
-  /** True where a quarantined content ran on an instance when it ended: one cause is enough. */
-  private isExplained(instance: string, except: Case): boolean {
-    for (const other of this.cases.values()) {
+  /** Returns true if another quarantined content ran on the instance when it crashed. */
+  private isExplained(instance: string, except: StoredRecord): boolean {
+    for (const other of this.records.values()) {
       if (other !== except && other.quarantinedAt !== undefined && other.crashes.has(instance)) {
         return true;
       }
@@ -222,43 +218,43 @@
     return false;
   }
 
-  private endsAt(known: Case): ports.Milliseconds {
+  private quarantineEndsAt(known: StoredRecord): ports.Milliseconds {
     const since = Math.max(known.quarantinedAt ?? 0, ...known.crashes.values());
-    return since + FIRST_QUARANTINE * QUARANTINE_GROWTH ** known.lapses;
+    return since + FIRST_QUARANTINE_DURATION * QUARANTINE_GROWTH_FACTOR ** known.lapses;
   }
 
-  /** Lets go what has run out. */
+  /** Ends quarantines that have expired and deletes records past their retention. */
   expire(now: number): void {
-    for (const known of this.cases.values()) {
+    for (const known of this.records.values()) {
       if (known.quarantinedAt === undefined) {
-        const kept = known.lapses > 0 ? LAPSES_KEPT : EVIDENCE_KEPT;
-        if (now - known.touchedAt >= kept) {
-          this.cases.delete(known.content);
+        const retention = known.lapses > 0 ? EXPIRED_QUARANTINE_RETENTION : CRASH_RETENTION;
+        if (now - known.changedAt >= retention) {
+          this.records.delete(known.content);
         }
-      } else if (now >= this.endsAt(known)) {
+      } else if (now >= this.quarantineEndsAt(known)) {
         known.quarantinedAt = undefined;
         known.lapses += 1;
         known.voidedAt = now;
-        known.touchedAt = now;
-        this.tell(known, 'lapsed');
+        known.changedAt = now;
+        this.notifyChange(known, 'lapsed');
         known.crashes.clear();
       }
     }
   }
 
-  /** The oldest of those that are not quarantined go first. */
-  private bound(): void {
-    if (this.cases.size <= MOST_CASES) {
+  /** Evicts the least recently changed record beyond `MAX_RECORDS`, if possible one that is not quarantined. */
+  private evictExcessRecord(): void {
+    if (this.records.size <= MAX_RECORDS) {
       return;
     }
-    const byAge = [...this.cases.values()].sort((left, right) => left.touchedAt - right.touchedAt);
+    const byAge = [...this.records.values()].sort((left, right) => left.changedAt - right.changedAt);
     const oldest = byAge.find(({ quarantinedAt }) => quarantinedAt === undefined) ?? byAge[0];
     if (oldest !== undefined) {
-      this.cases.delete(oldest.content);
+      this.records.delete(oldest.content);
     }
   }
 
-  private recordOf(known: Case, now: number): types.CaseRecord {
+  private toCrashRecord(known: StoredRecord, now: number): types.CaseRecord {
     const { content, crashes, voidedAt, imposedAt, lapses } = known;
     return {
       content,
@@ -269,15 +265,15 @@
     };
   }
 
-  /** The case of a content, to tell others; undefined where there is none. */
-  caseOf(content: string, now: number): types.CaseRecord | undefined {
-    const known = this.cases.get(content);
-    return known === undefined ? undefined : this.recordOf(known, now);
+  /** The crash record of a content, for publishing; undefined if there is none. */
+  recordOf(content: string, now: number): types.CaseRecord | undefined {
+    const known = this.records.get(content);
+    return known === undefined ? undefined : this.toCrashRecord(known, now);
   }
 
-  /** Cases that changed after a revision. */
-  newsSince(revision: number, now: number): types.CaseNews {
-    const changed = [...this.cases.values()].filter((known) => known.revision > revision);
-    return { revision: this.currentRevision, cases: changed.map((known) => this.recordOf(known, now)) };
+  /** Crash records that changed after a revision. */
+  updatesSince(revision: number, now: number): types.CaseNews {
+    const changed = [...this.records.values()].filter((known) => known.revision > revision);
+    return { revision: this.currentRevision, cases: changed.map((known) => this.toCrashRecord(known, now)) };
   }
 }
--- a/packages/kumquatfront/src/quarantine/guardedUpstreams.spec.ts
+++ b/packages/kumquatfront/src/quarantine/guardedUpstreams.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The gate before all upstreams: what was decided before something became known passes it too late.
+ * Sends to upstreams that became excluded after they had been chosen are rejected.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -8,13 +8,13 @@
 import * as relayBench from '../relay/relayBench.js';
 
 function send(
-  bench: relayBench.RelayBench,
+  harness: relayBench.RelayBench,
   instance: instanceView.Instance,
   dataCentres?: readonly string[],
 ): string[] {
   const told: string[] = [];
-  const { request } = bench.routed('stream');
-  bench.context.upstreams.send(
+  const { request } = harness.routed('stream');
+  harness.context.upstreams.send(
     { request, instance, timeLeft: 1_000, dataCentres },
     {
       head: () => told.push('head'),
@@ -26,32 +26,32 @@
   return told;
 }
 
-// A coordinator that is behind, or a copy that was begun earlier, leads to an upstream whose data centre has been
-// evacuated meanwhile. The exchange learns that nothing was sent, and may go elsewhere; the upstream is not at fault.
-void test.test('nothing is sent into an evacuated data centre, whoever has chosen the upstream', () => {
-  const bench = new relayBench.RelayBench(['a']);
-  const instance = bench.context.instances.get('a');
+// An outdated decision of the coordinator, or a copy started earlier, may lead to a data centre evacuated since. The
+// exchange must learn that nothing was sent, so that it can use another upstream.
+void test.test('nothing is sent into an evacuated data centre, whoever chose the upstream', () => {
+  const harness = new relayBench.RelayBench(['a']);
+  const instance = harness.context.instances.get('a');
   assert.ok(instance);
-  bench.context.instances.setEvacuated([instance.dataCentre]);
-  const told = send(bench, instance);
+  harness.context.instances.setEvacuated([instance.dataCentre]);
+  const told = send(harness, instance);
   assert.deepEqual(told, []);
-  bench.time.advance(1);
+  harness.time.advance(1);
   assert.deepEqual(told, ['withheld']);
-  assert.equal(bench.sent.length, 0);
-  bench.context.instances.setEvacuated([]);
-  send(bench, instance);
-  assert.equal(bench.sent.length, 1);
+  assert.equal(harness.sent.length, 0);
+  harness.context.instances.setEvacuated([]);
+  send(harness, instance);
+  assert.equal(harness.sent.length, 1);
 });
 
-// The homes of a route changed while a place was sought: the engine that was found is not at home any more.
+// The regions of a route changed while the request was being placed.
 void test.test('nothing is sent to a region where the request may not run', () => {
-  const bench = new relayBench.RelayBench(['a']);
-  const instance = bench.context.instances.get('a');
+  const harness = new relayBench.RelayBench(['a']);
+  const instance = harness.context.instances.get('a');
   assert.ok(instance);
-  const told = send(bench, instance, ['elsewhere']);
-  bench.time.advance(1);
+  const told = send(harness, instance, ['elsewhere']);
+  harness.time.advance(1);
   assert.deepEqual(told, ['withheld']);
-  assert.equal(bench.sent.length, 0);
-  send(bench, instance, [instance.dataCentre]);
-  assert.equal(bench.sent.length, 1);
+  assert.equal(harness.sent.length, 0);
+  send(harness, instance, [instance.dataCentre]);
+  assert.equal(harness.sent.length, 1);
 });
--- a/packages/kumquatfront/src/quarantine/guardedUpstreams.ts
+++ b/packages/kumquatfront/src/quarantine/guardedUpstreams.ts
@@ -1,12 +1,10 @@
 /**
- * The one gate between an entry and its upstreams: first sends, repeats, hedges, resumed streams and generations that
- * go on elsewhere from a copy all pass it. It sends nothing of a content that is quarantined, nothing to an upstream that
- * is to get nothing at this moment or is in a region where the request may not run, and tells the detector how every run
- * ends.
+ * Wraps the upstream port of an entry with checks that apply to every send: first attempts, retries, hedges, resumed
+ * streams and generations that continue from a copy. Rejects quarantined contents, temporarily excluded upstreams and
+ * upstreams in regions where the request may not run, and reports the outcome of every run to the crash detector.
  *
- * An exchange whose run breaks off sends it on within a millisecond, before anybody knows whether its upstream has
- * ended. Where ends are held against its content already, it hears of the break once that is known: the end that
- * quarantines a content would be followed by one more otherwise.
+ * If a run of a suspected content breaks, its failure is passed on only after the connection check: an exchange would
+ * otherwise resend it before the crash that quarantines the content is recorded.
  */
 import type * as sendRules from '../backPressure/sendRules.js';
 import type * as signalBook from '../backPressure/signalBook.js';
@@ -17,136 +15,136 @@
 import * as contentDigest from './contentDigest.js';
 import * as quarantine from './quarantine.js';
 
-/** What the gate is made from. */
-export interface GuardOptions {
+/** The wrapped port and the components that decide what may be sent. */
+export interface GuardedUpstreamsOptions {
   readonly upstreams: relayTypes.UpstreamPort;
   readonly timers: timerService.TimerService;
   readonly log: ports.Log;
   readonly quarantine: quarantine.Quarantine;
-  /** Told what upstreams say of themselves with their answers. */
+  /** Receives the back-pressure signals in answers of upstreams. */
   readonly signals: signalBook.SignalBook;
-  /** Say what may be sent, whoever has chosen it, and however long ago. */
+  /** Decides whether an upstream may be sent a request now. */
   readonly rules: sendRules.SendRules;
 }
 
-/** A run as the gate watches it. */
-class WatchedRun {
-  private over = false;
+/** Reports the outcome of one run to the crash detector. */
+class TrackedRun {
+  private finished = false;
   private readonly sentAt: ports.Milliseconds;
-  private readonly run: number;
+  private readonly runId: number;
   private succeeded = false;
 
   constructor(
-    private readonly options: GuardOptions,
+    private readonly options: GuardedUpstreamsOptions,
     private readonly call: relayTypes.UpstreamCall,
     private readonly content: string,
   ) {
     const { instance, request } = call;
     this.sentAt = options.timers.now();
-    this.run = options.quarantine.detector.begun(instance.identity, content, request.identity);
+    this.runId = options.quarantine.detector.begun(instance.identity, content, request.identity);
   }
 
-  /** The listener that watches on the way to another one. */
-  listen(listener: relayTypes.ExchangeListener): relayTypes.ExchangeListener {
+  /** Wraps a listener so that this run observes its events. */
+  wrapListener(listener: relayTypes.ExchangeListener): relayTypes.ExchangeListener {
     return {
       head: (head) => {
         this.succeeded = head.signed && head.status >= 200 && head.status < 300;
         if (head.signals !== undefined) {
-          this.options.signals.take(this.call.instance, head.signals, this.sentAt);
+          this.options.signals.applySignals(this.call.instance, head.signals, this.sentAt);
         }
         listener.head(head);
       },
       data: listener.data,
       end: () => {
-        this.endWhole();
+        this.complete();
         listener.end();
       },
       failed: (failure, reason) => {
         if (failure === 'notSent') {
-          this.options.quarantine.detector.unreachable(this.call.instance);
+          this.options.quarantine.detector.instanceUnreachable(this.call.instance);
         }
-        this.settle(failure === 'broken', () => {
+        this.finish(failure === 'broken', () => {
           listener.failed(failure, reason);
         });
       },
     };
   }
 
-  private endWhole(): void {
-    this.settle(false);
+  private complete(): void {
+    this.finish(false);
     if (this.succeeded) {
       this.options.quarantine.answered(this.content);
     }
   }
 
   /**
-   * Ends the watch.
+   * Reports the end of the run, once.
    *
-   * @param broke - true where the upstream may have ended under the run
-   * @param then - goes on with the exchange
+   * @param mayHaveCrashed - true if the upstream may have crashed
+   * @param proceed - continues the exchange
    */
-  settle(broke: boolean, then: () => void = () => undefined): void {
-    if (this.over) {
-      then();
+  finish(mayHaveCrashed: boolean, proceed: () => void = () => undefined): void {
+    if (this.finished) {
+      proceed();
       return;
     }
-    this.over = true;
-    const { quarantine: held } = this.options;
-    const { detector } = held;
+    this.finished = true;
+    const { quarantine: quarantineState } = this.options;
+    const { detector } = quarantineState;
     const { instance } = this.call;
-    if (!broke) {
-      detector.ended(instance.identity, this.run);
-      then();
-    } else if (held.verdictOf(this.content) === 'free') {
-      detector.broke(instance, this.run, () => undefined);
-      then();
+    if (!mayHaveCrashed) {
+      detector.ended(instance.identity, this.runId);
+      proceed();
+    } else if (quarantineState.verdictOf(this.content) === 'free') {
+      detector.broke(instance, this.runId, () => undefined);
+      proceed();
     } else {
-      detector.broke(instance, this.run, then);
+      detector.broke(instance, this.runId, proceed);
     }
   }
 }
 
 /**
- * Creates the gate.
+ * Wraps an upstream port with the checks described in the module comment.
  *
- * @param options - the upstreams behind it, and who decides
- * @returns upstreams that pass the gate
+ * @param options - the port to wrap, and the components that decide what may be sent
+ * @returns the wrapped port
  * @example
  * ```ts
- * const upstreams = guardedUpstreams.create({ upstreams: port, timers, log, quarantine, signals, rules });
+ * const upstreams = guardedUpstreams.create({ upstreams: port, timers, log, quarantine, signals, policy });
  * ```
  */
-export function create(options: GuardOptions): relayTypes.UpstreamPort {
-  const { upstreams, timers, quarantine: held, rules } = options;
+export function create(options: GuardedUpstreamsOptions): relayTypes.UpstreamPort {
+  const { upstreams, timers, quarantine: quarantineState, rules: policy } = options;
   const send: relayTypes.UpstreamPort['send'] = (call, listener) => {
     const content = contentDigest.of(call.request, call.account ?? '');
-    if (held.verdictOf(content) === 'quarantined') {
-      return failSoon(timers, listener, 'quarantined', quarantine.QUARANTINED);
+    if (quarantineState.verdictOf(content) === 'quarantined') {
+      return failAsynchronously(timers, listener, 'quarantined', quarantine.QUARANTINED);
     }
     const now = timers.now();
-    const hold = rules.holdOf(call.instance, now);
-    if (hold !== undefined && !mayGoOn(call, hold)) {
+    const exclusion = policy.holdOf(call.instance, now);
+    if (exclusion !== undefined && !mayResumeFromCopy(call, exclusion)) {
       options.log.info('withheld', {
         request: call.request.identity,
         upstream: call.instance.identity,
-        reason: hold.reason,
-        for: hold.until === undefined ? undefined : Math.round(hold.until - now),
+        reason: exclusion.reason,
+        for: exclusion.until === undefined ? undefined : Math.round(exclusion.until - now),
       });
-      return failSoon(timers, listener, 'withheld', rules.messageOf(hold));
+      return failAsynchronously(timers, listener, 'withheld', policy.messageOf(exclusion));
     }
     if (!residency.allows(call.instance.dataCentre, call.dataCentres)) {
-      return failSoon(
+      return failAsynchronously(
         timers,
         listener,
         'withheld',
         'the upstream is in a region where the request may not run',
       );
     }
-    rules.sentTo(call.instance, now);
-    const watched = new WatchedRun(options, call, content);
-    const cancel = upstreams.send(call, watched.listen(listener));
+    policy.recordSent(call.instance, now);
+    const tracked = new TrackedRun(options, call, content);
+    const cancel = upstreams.send(call, tracked.wrapListener(listener));
     return (why) => {
-      watched.settle(why === 'silent');
+      tracked.finish(why === 'silent');
       cancel(why);
     };
   };
@@ -154,15 +152,15 @@
 }
 
 /**
- * A generation that goes on from a copy of its memory is lost where it is not sent: its source has stopped. Only an
- * evacuation keeps it back. Whoever moves it asks the rules before the source stops.
+ * A generation that continues from a copy of its memory would be lost if it were not sent, because its source has
+ * stopped. Only an evacuation prevents it; other exclusions are checked before the source stops.
  */
-function mayGoOn({ copy }: relayTypes.UpstreamCall, { reason }: sendRules.Hold): boolean {
+function mayResumeFromCopy({ copy }: relayTypes.UpstreamCall, { reason }: sendRules.Exclusion): boolean {
   return copy !== undefined && reason !== 'evacuated';
 }
 
-/** Exchanges learn of a failure after their call has returned, as they do from a real upstream. */
-function failSoon(
+/** Fails an exchange asynchronously, like a real upstream, after `send` has returned. */
+function failAsynchronously(
   timers: timerService.TimerService,
   listener: relayTypes.ExchangeListener,
   failure: relayTypes.ExchangeFailure,
--- a/packages/kumquatfront/src/quarantine/quarantine.spec.ts
+++ b/packages/kumquatfront/src/quarantine/quarantine.spec.ts
@@ -1,5 +1,5 @@
 /**
- * What becomes known of a request that ends its upstreams, to whom, and for how long, in a whole system on virtual
+ * How the quarantine of a request that crashes its upstreams spreads and persists, in a complete system on virtual
  * time.
  */
 import * as assert from 'node:assert/strict';
@@ -7,282 +7,280 @@
 
 import * as crashBench from './crashBench.js';
 
-const KILLER = 'kills';
+const CRASHING_CONTENT = 'kills';
 
-/** The aim: within this time of the third end nobody sends it any more. The promise is three seconds. */
-const KNOWN_WITHIN = 1_000;
+/** No entry may send the request later than this after the third crash. */
+const PROPAGATION_LIMIT = 1_000;
 
-/** Longest time from the start of all processes to a whole system. */
-const STARTS_WITHIN = 6_000;
+/** Maximum time from the start of all processes until the system is ready. */
+const STARTUP_LIMIT = 6_000;
 
 function effectOf(content: string): crashBench.Effect {
-  return content.startsWith(KILLER) ? 'crashes' : 'served';
+  return content.startsWith(CRASHING_CONTENT) ? 'crashes' : 'served';
 }
 
 function create(seed?: number): crashBench.CrashBench {
   return new crashBench.CrashBench(7, { llm: 6, app: 4 }, effectOf, seed);
 }
 
-/** Lets three upstreams end under the killer: two attempts of its caller, at two entries. */
-function quarantine(bench: crashBench.CrashBench): void {
-  bench.ask('e1', 'llm', KILLER);
-  bench.time.advance(1_500);
-  bench.ask('e2', 'llm', KILLER);
-  bench.time.advance(KNOWN_WITHIN);
-  assert.equal(bench.crashes.length, 3);
+/** Crashes three upstreams by two attempts at two entries. */
+function crashThreeUpstreams(harness: crashBench.CrashBench): void {
+  harness.ask('e1', 'llm', CRASHING_CONTENT);
+  harness.time.advance(1_500);
+  harness.ask('e2', 'llm', CRASHING_CONTENT);
+  harness.time.advance(PROPAGATION_LIMIT);
+  assert.equal(harness.crashes.length, 3);
 }
 
-/** Brings the killer to an entry; true where it is turned away without having been sent. */
-function isTurnedAway(bench: crashBench.CrashBench, entry: string): boolean {
-  const arrived = bench.arrivals.length;
-  const attempt = bench.ask(entry, 'llm', KILLER);
-  return attempt.outcome === 'quarantined' && bench.arrivals.length === arrived;
+/** Sends the crashing request to an entry; returns true if it is refused without reaching an upstream. */
+function isRefused(harness: crashBench.CrashBench, entry: string): boolean {
+  const arrived = harness.arrivals.length;
+  const attempt = harness.ask(entry, 'llm', CRASHING_CONTENT);
+  return attempt.outcome === 'quarantined' && harness.arrivals.length === arrived;
 }
 
-function assertTurnedAwayEverywhere(bench: crashBench.CrashBench): void {
-  const sending = bench.entryNames.filter((entry) => !isTurnedAway(bench, entry));
+function assertRefusedEverywhere(harness: crashBench.CrashBench): void {
+  const sending = harness.entryNames.filter((entry) => !isRefused(harness, entry));
   assert.deepEqual(sending, []);
 }
 
-// The third end is known at all entries within a second, and is the last one.
-void test.test('all entries know within a second of the third end', () => {
-  const bench = create();
-  quarantine(bench);
-  assertTurnedAwayEverywhere(bench);
-  bench.time.advance(5_000);
-  assert.equal(bench.crashes.length, 3);
+// There must be no fourth crash.
+void test.test('all entries refuse the request within a second of the third crash', () => {
+  const harness = create();
+  crashThreeUpstreams(harness);
+  assertRefusedEverywhere(harness);
+  harness.time.advance(5_000);
+  assert.equal(harness.crashes.length, 3);
 });
 
-// A caller is told the truth: its first attempt ran, so nobody can say that it did not; a later one ran nowhere, and no
-// time to come back is named, since it would be turned away again.
-void test.test('an attempt that ran is no refusal, one that ran nowhere says so and names no time', () => {
-  const bench = create();
-  quarantine(bench);
+// The first attempts ran, so they must not be reported as not run. A later one did not run, and a retry would be
+// refused again.
+void test.test('an attempt that ran is not refused; a later one is, without a retry time', () => {
+  const harness = create();
+  crashThreeUpstreams(harness);
   assert.deepEqual(
-    bench.attempts.map(({ outcome }) => outcome),
+    harness.attempts.map(({ outcome }) => outcome),
     ['outcomeUnknown', 'outcomeUnknown'],
   );
-  const later = bench.ask('e3', 'llm', KILLER);
+  const later = harness.ask('e3', 'llm', CRASHING_CONTENT);
   assert.equal(later.refusal?.reason, 'quarantined');
   assert.equal(later.refusal.retryAfter, undefined);
 });
 
-// Another account sends the same bytes. Were it turned away, one account could turn away another's requests, and learn
-// what others send.
-void test.test('the request of another account is not turned away', () => {
-  const bench = create();
-  quarantine(bench);
-  const other = bench.ask('e3', 'llm', KILLER, () => undefined, 'school-2');
+// Otherwise one client account could block the requests of another, or find out what it sends.
+void test.test('the same request of another client account is not refused', () => {
+  const harness = create();
+  crashThreeUpstreams(harness);
+  const other = harness.ask('e3', 'llm', CRASHING_CONTENT, () => undefined, 'school-2');
   assert.notEqual(other.outcome, 'quarantined');
-  bench.time.advance(300);
-  assert.equal(bench.arrivals.filter(({ entry }) => entry === 'e3').length, 1);
+  harness.time.advance(300);
+  assert.equal(harness.arrivals.filter(({ entry }) => entry === 'e3').length, 1);
 });
 
-// Seven callers bring it to seven entries in the same moment, before anything has ended. What is under way then may end
-// its engine, but nothing is begun once the third has.
-void test.test('attempts that are under way at the third end are not sent on', () => {
-  const bench = create();
-  const { entryNames } = bench;
+// Seven callers send it to seven entries before the first crash. Runs in progress may still crash their engines, but no
+// new run may start after the third crash.
+void test.test('attempts in progress at the third crash are not resent', () => {
+  const harness = create();
+  const { entryNames } = harness;
   entryNames.forEach((entry, index) => {
-    bench.time.after(index * 150, () => {
-      bench.ask(entry, 'llm', KILLER);
+    harness.time.after(index * 150, () => {
+      harness.ask(entry, 'llm', CRASHING_CONTENT);
     });
   });
-  bench.time.advance(5_000);
-  const third = bench.crashes[2]?.at ?? 0;
-  const later = bench.arrivals.filter(({ at }) => at > third + 100);
+  harness.time.advance(5_000);
+  const third = harness.crashes[2]?.at ?? 0;
+  const later = harness.arrivals.filter(({ at }) => at > third + 100);
   assert.deepEqual(later, []);
-  assert.ok(bench.crashes.length <= 5, `${bench.crashes.length} engines ended`);
+  assert.ok(harness.crashes.length <= 5, `${harness.crashes.length} engines crashed`);
 });
 
-// An entry that starts afterwards has seen nothing, and must not serve before it has been told.
-void test.test('an entry that has just started knows with its first configuration', () => {
-  const bench = create();
-  quarantine(bench);
-  bench.startEntry('e8');
+// A new entry has no crash records and must not serve before it has received them.
+void test.test('a new entry receives quarantines with its first configuration', () => {
+  const harness = create();
+  crashThreeUpstreams(harness);
+  harness.startEntry('e8');
   const outcomes: (string | undefined)[] = [];
-  bench.ask('e8', 'llm', KILLER, ({ outcome }) => outcomes.push(outcome));
-  bench.time.advance(2_000);
+  harness.ask('e8', 'llm', CRASHING_CONTENT, ({ outcome }) => outcomes.push(outcome));
+  harness.time.advance(2_000);
   assert.deepEqual(outcomes, ['quarantined']);
-  assert.equal(bench.crashes.length, 3);
+  assert.equal(harness.crashes.length, 3);
 });
 
-// The leader is lost right before the third end: no quorum is asked for anything that entries must know at once.
-void test.test('the loss of the leader delays nothing', () => {
-  const bench = create();
-  bench.ask('e1', 'llm', KILLER);
-  bench.time.advance(1_500);
-  bench.ask('e2', 'llm', KILLER);
-  bench.time.advance(450);
-  bench.control.kill(bench.control.leader());
-  bench.time.advance(KNOWN_WITHIN);
-  assert.equal(bench.crashes.length, 3);
-  assertTurnedAwayEverywhere(bench);
+// The leader fails right before the third crash; the exchange of crash records needs no quorum.
+void test.test('the loss of the leader does not delay a quarantine', () => {
+  const harness = create();
+  harness.ask('e1', 'llm', CRASHING_CONTENT);
+  harness.time.advance(1_500);
+  harness.ask('e2', 'llm', CRASHING_CONTENT);
+  harness.time.advance(450);
+  harness.control.kill(harness.control.leader());
+  harness.time.advance(PROPAGATION_LIMIT);
+  assert.equal(harness.crashes.length, 3);
+  assertRefusedEverywhere(harness);
 });
 
-// Two of three replicas cannot be reached by an entry. It still hears from the third one.
-void test.test('an entry that reaches one replica only knows too', () => {
-  const bench = create();
-  bench.control.cut('e7', 'c1');
-  bench.control.cut('e7', 'c2');
-  bench.time.advance(2_000);
-  quarantine(bench);
-  assertTurnedAwayEverywhere(bench);
+// An entry is partitioned from two of three replicas.
+void test.test('an entry that reaches only one replica learns of a quarantine', () => {
+  const harness = create();
+  harness.control.cut('e7', 'c1');
+  harness.control.cut('e7', 'c2');
+  harness.time.advance(2_000);
+  crashThreeUpstreams(harness);
+  assertRefusedEverywhere(harness);
 });
 
-/** Kills all of control, and starts it again on the disks that it had. */
-function restartControl(bench: crashBench.CrashBench): void {
+/** Kills all control replicas and restarts them with their disks. */
+function restartControl(harness: crashBench.CrashBench): void {
   crashBench.REPLICAS.forEach((replica) => {
-    bench.control.kill(replica);
+    harness.control.kill(replica);
   });
-  bench.time.advance(500);
+  harness.time.advance(500);
   crashBench.REPLICAS.forEach((replica) => {
-    bench.control.start(replica);
+    harness.control.start(replica);
   });
 }
 
-// All of control is killed and comes back: a replica has only what it had on its disk, and what entries tell it.
-void test.test('a control that was killed and an entry that starts then know', () => {
-  const bench = create();
-  quarantine(bench);
-  restartControl(bench);
-  bench.startEntry('e8');
-  bench.time.advance(STARTS_WITHIN);
-  assertTurnedAwayEverywhere(bench);
+// Restarted replicas have only their disks and the reports of entries.
+void test.test('restarted control replicas and a new entry learn of a quarantine', () => {
+  const harness = create();
+  crashThreeUpstreams(harness);
+  restartControl(harness);
+  harness.startEntry('e8');
+  harness.time.advance(STARTUP_LIMIT);
+  assertRefusedEverywhere(harness);
 });
 
-/** Kills every process, and starts all again on the disks that they had. */
-function restartAll(bench: crashBench.CrashBench): void {
-  const { entryNames } = bench;
+/** Kills all processes and restarts them with their disks. */
+function restartAll(harness: crashBench.CrashBench): void {
+  const { entryNames } = harness;
   entryNames.forEach((entry) => {
-    bench.control.kill(entry);
+    harness.control.kill(entry);
   });
-  restartControl(bench);
+  restartControl(harness);
   entryNames.forEach((entry) => {
-    bench.startEntry(entry);
+    harness.startEntry(entry);
   });
-  bench.time.advance(STARTS_WITHIN);
+  harness.time.advance(STARTUP_LIMIT);
 }
 
-// Everything loses power: no process remembers anything. The same request would end three upstreams anew, and go on
-// from there, if the replicas had not agreed on it.
-void test.test('a quarantine outlives the loss of all processes', () => {
-  const bench = create();
-  quarantine(bench);
-  restartAll(bench);
-  assertTurnedAwayEverywhere(bench);
+// After a loss of power only the replicated log is left; without it the request would crash three more upstreams.
+void test.test('a quarantine survives the loss of all processes', () => {
+  const harness = create();
+  crashThreeUpstreams(harness);
+  restartAll(harness);
+  assertRefusedEverywhere(harness);
 });
 
-// A replica loses its disk, and all others lose power; the quarantine is on two disks of three.
-void test.test('a quarantine outlives the loss of a disk', () => {
-  const bench = create();
-  quarantine(bench);
-  bench.control.loseDisk(bench.control.leader());
-  restartAll(bench);
-  assertTurnedAwayEverywhere(bench);
+// One replica loses its disk and all processes restart; two of three disks have the quarantine.
+void test.test('a quarantine survives the loss of a disk', () => {
+  const harness = create();
+  crashThreeUpstreams(harness);
+  harness.control.loseDisk(harness.control.leader());
+  restartAll(harness);
+  assertRefusedEverywhere(harness);
 });
 
-// The third end is found by an entry that resends within a millisecond; it waits until its upstream has been checked.
-void test.test('the entry that finds the third end sends it on no more', () => {
-  const bench = new crashBench.CrashBench(7, { llm: 6, app: 12 }, effectOf);
+// The entry would resend within a millisecond; it must wait for the connection check of the crashed upstream first.
+void test.test('the entry that detects the third crash does not resend the request', () => {
+  const harness = new crashBench.CrashBench(7, { llm: 6, app: 12 }, effectOf);
   for (let round = 0; round < 5; round += 1) {
-    bench.ask('e1', 'app', `${KILLER} ${round}`);
-    bench.time.advance(500);
-    bench.ask('e2', 'app', `${KILLER} ${round}`);
-    bench.time.advance(STARTS_WITHIN);
+    harness.ask('e1', 'app', `${CRASHING_CONTENT} ${round}`);
+    harness.time.advance(500);
+    harness.ask('e2', 'app', `${CRASHING_CONTENT} ${round}`);
+    harness.time.advance(STARTUP_LIMIT);
   }
-  assert.equal(bench.crashes.length, 15);
-  assert.equal(bench.arrivals.length, 15);
+  assert.equal(harness.crashes.length, 15);
+  assert.equal(harness.arrivals.length, 15);
 });
 
-// Two ends are known when all of control is killed. The third is found by an entry that has started since, and knows of
-// the others only if those who remember told the new replicas.
-void test.test('ends that control has forgotten are told to it again', () => {
-  const bench = create();
-  bench.ask('e1', 'llm', KILLER);
-  bench.time.advance(1_500);
-  assert.equal(bench.crashes.length, 2);
-  restartControl(bench);
-  bench.startEntry('e8');
-  bench.time.advance(STARTS_WITHIN);
-  bench.ask('e8', 'llm', KILLER);
-  bench.time.advance(KNOWN_WITHIN);
-  assert.equal(bench.crashes.length, 3);
-  assertTurnedAwayEverywhere(bench);
+// Control restarts after two crashes. The third is detected by a new entry, which knows of the others only if older
+// entries reported them again.
+void test.test('crashes that control has lost are reported to it again', () => {
+  const harness = create();
+  harness.ask('e1', 'llm', CRASHING_CONTENT);
+  harness.time.advance(1_500);
+  assert.equal(harness.crashes.length, 2);
+  restartControl(harness);
+  harness.startEntry('e8');
+  harness.time.advance(STARTUP_LIMIT);
+  harness.ask('e8', 'llm', CRASHING_CONTENT);
+  harness.time.advance(PROPAGATION_LIMIT);
+  assert.equal(harness.crashes.length, 3);
+  assertRefusedEverywhere(harness);
 });
 
-// An engine ends of itself three times, with other requests on it each time, and two services are released: nobody is
-// turned away for what happened around him.
-void test.test('ends without a common request hold nobody guilty', () => {
-  const bench = create();
+// Engines crash repeatedly on their own, with different requests on them each time.
+void test.test('crashes without a common request quarantine nothing', () => {
+  const harness = create();
   for (let round = 0; round < 30; round += 1) {
-    bench.ask(`e${(round % 7) + 1}`, 'llm', `other ${round}`);
+    harness.ask(`e${(round % 7) + 1}`, 'llm', `other ${round}`);
     if (round % 5 === 4) {
-      bench.time.advance(450);
-      bench.endOne('llm');
+      harness.time.advance(450);
+      harness.crashOne('llm');
     }
-    bench.time.advance(200);
+    harness.time.advance(200);
   }
-  bench.time.advance(3_000);
-  const outcomes = bench.attempts.map(({ outcome }) => outcome);
+  harness.time.advance(3_000);
+  const outcomes = harness.attempts.map(({ outcome }) => outcome);
   assert.equal(outcomes.includes('quarantined'), false);
   assert.ok(outcomes.filter((outcome) => outcome === 'served').length >= 28);
 });
 
-/** What came of those whose upstream ended under a killer beside them. */
+/** Outcome of requests that ran beside a crashing request. */
 interface Bystanders {
-  /** Under one end or more, and under as many as make a request known. */
+  /** Contents with at least one crash, and contents with as many crashes as a quarantine needs. */
   readonly under: readonly [one: number, three: number];
   readonly turnedAway: number;
 }
 
-/** Killers of three contents among many other requests, all repeated by their callers. */
-function playBusy(service: crashBench.ServiceName, gap: number, seed: number): Bystanders {
-  const bench = create(seed);
+/** Sends three crashing contents among many other requests, with a retry of each failed request. */
+function simulateBystanders(service: crashBench.ServiceName, gap: number, seed: number): Bystanders {
+  const harness = create(seed);
   const askTwice = (entry: string, content: string): void => {
-    bench.ask(entry, service, content, (first) => {
+    harness.ask(entry, service, content, (first) => {
       if (first.outcome !== 'served') {
-        bench.time.after(300, () => {
-          bench.ask(`e${(seed % 7) + 1}`, service, content);
+        harness.time.after(300, () => {
+          harness.ask(`e${(seed % 7) + 1}`, service, content);
         });
       }
     });
   };
   for (let index = 0; index < 150; index += 1) {
-    const content = index % 30 === 10 ? `${KILLER} ${Math.floor(index / 60)}` : `other ${index}`;
-    bench.time.after(index * gap, () => {
+    const content = index % 30 === 10 ? `${CRASHING_CONTENT} ${Math.floor(index / 60)}` : `other ${index}`;
+    harness.time.after(index * gap, () => {
       askTwice(`e${(index % 7) + 1}`, content);
     });
   }
-  bench.time.advance(150 * gap + 8_000);
-  const ends = new Map<string, number>();
-  for (const content of bench.crashes.flatMap(({ beside }) => beside)) {
-    ends.set(content, (ends.get(content) ?? 0) + 1);
+  harness.time.advance(150 * gap + 8_000);
+  const crashCounts = new Map<string, number>();
+  for (const content of harness.crashes.flatMap(({ otherContents: beside }) => beside)) {
+    crashCounts.set(content, (crashCounts.get(content) ?? 0) + 1);
   }
-  const counts = [...ends].filter(([content]) => !content.startsWith(KILLER)).map(([, count]) => count);
-  const others = bench.attempts.filter(({ content }) => !content.startsWith(KILLER));
+  const counts = [...crashCounts]
+    .filter(([content]) => !content.startsWith(CRASHING_CONTENT))
+    .map(([, count]) => count);
+  const others = harness.attempts.filter(({ content }) => !content.startsWith(CRASHING_CONTENT));
   return {
     under: [counts.length, counts.filter((count) => count >= 3).length],
     turnedAway: others.filter(({ outcome }) => outcome === 'quarantined').length,
   };
 }
 
-// What ran beside the killer ended with its engine, is resumed like it, and comes again like it; on crowded engines some
-// are under three ends. One in a thousand bystanders may be held guilty and turned away: one caller in five evenings
-// like these.
+// Bystanders crash with their engine, and are resumed and retried like the crashing request; on busy engines some are
+// under three crashes. At most one in a thousand may be refused.
 for (const [service, gap, least, leastUnderThree] of [
   ['llm', 60, 500, 0],
   ['llm', 30, 1_000, 10],
   ['app', 15, 30, 0],
 ] as const) {
-  void test.test(`bystanders are not turned away (${service}, one each ${gap} ms)`, () => {
-    const plays = Array.from({ length: 40 }, (_, index) => playBusy(service, gap, index + 1));
+  void test.test(`bystanders are not refused (${service}, one request every ${gap} ms)`, () => {
+    const plays = Array.from({ length: 40 }, (_, index) => simulateBystanders(service, gap, index + 1));
     const sum = (count: (play: Bystanders) => number): number =>
       plays.reduce((total, play) => total + count(play), 0);
     const bystanders = sum(({ under }) => under[0]);
     assert.ok(bystanders >= least, `only ${bystanders} bystanders`);
-    assert.ok(sum(({ under }) => under[1]) >= leastUnderThree, 'too few were under three ends');
+    assert.ok(sum(({ under }) => under[1]) >= leastUnderThree, 'too few were under three crashes');
     const turnedAway = sum((play) => play.turnedAway);
-    assert.ok(turnedAway * 1_000 <= bystanders, `${turnedAway} of ${bystanders} were turned away`);
+    assert.ok(turnedAway * 1_000 <= bystanders, `${turnedAway} of ${bystanders} were refused`);
   });
 }
--- a/packages/kumquatfront/src/quarantine/quarantine.ts
+++ b/packages/kumquatfront/src/quarantine/quarantine.ts
@@ -1,6 +1,6 @@
 /**
- * An entry's part in keeping requests that end upstreams away from them: it finds out what ended under what, has others
- * told, takes in what they found out, and answers what may be sent. How entries tell each other is up to the node.
+ * Quarantine of an entry for requests that crash their upstreams: detects crashes, reports them, merges the crash
+ * records of other processes, and decides which contents may be sent. The node provides the transport of reports.
  */
 import type * as ports from '../kernel/ports.js';
 import type * as timerService from '../kernel/timerService.js';
@@ -8,34 +8,32 @@
 import * as crashLedger from './crashLedger.js';
 import type * as types from './types.js';
 
-/** What callers are told. */
-export const QUARANTINED =
-  'upstreams ended under this content, one after another; sending it again will not help';
+/** Error message for callers whose request is quarantined. */
+export const QUARANTINED = 'several upstreams crashed while running this request; retrying it will not help';
 
-/** How often what has run out is let go. */
 const EXPIRY_INTERVAL: ports.Milliseconds = 1_000;
 
-/** What the part is made from. */
+/** Dependencies and callbacks of the quarantine. */
 export interface QuarantineOptions extends Omit<crashDetector.CrashDetectorOptions, 'onCrash'> {
   readonly timers: timerService.TimerService;
   readonly log: ports.Log;
   readonly metrics: ports.Metrics;
-  /** Has others told what is held against a content. */
+  /** Reports the changed crash record of a content to other processes. */
   readonly tell: (content: string) => void;
 }
 
-/** The part; see the module comment. */
+/** Tracks crashes and quarantined contents of an entry; see the module comment. */
 export class Quarantine {
-  /** To be told how every run on an upstream begins and ends. */
+  /** Must be notified of the start and end of every run on an upstream. */
   readonly detector: crashDetector.CrashDetector;
   private readonly options: QuarantineOptions;
-  private readonly ledger: crashLedger.CrashLedger;
+  private readonly store: crashLedger.CrashRecordStore;
   private readonly listeners = new Map<string, Set<() => void>>();
 
   constructor(options: QuarantineOptions) {
     this.options = options;
     const { timers } = options;
-    this.ledger = new crashLedger.CrashLedger((change) => {
+    this.store = new crashLedger.CrashRecordStore((change) => {
       this.onVerdictChange(change);
     });
     this.detector = new crashDetector.CrashDetector({
@@ -47,72 +45,70 @@
     timers.every(
       () => EXPIRY_INTERVAL,
       () => {
-        this.ledger.expire(timers.now());
+        this.store.expire(timers.now());
         this.detector.expire(timers.now());
       },
     );
   }
 
-  /** What is held against a content. */
   verdictOf(content: string): types.Verdict {
-    return this.ledger.verdictOf(content);
+    return this.store.verdictOf(content);
   }
 
-  /** Facts of a content for the log: its digest, the instances that ended under it, and how long it is held. */
+  /** Log fields of a content: digest, crashed instances and remaining time of its quarantine. */
   describe(content: string): ports.LogFields {
     return {
       content,
-      ended: this.ledger.instancesOf(content).join(' '),
-      timeLeft: Math.round(this.ledger.timeLeft(content, this.options.timers.now())),
+      ended: this.store.instancesOf(content).join(' '),
+      timeLeft: Math.round(this.store.timeLeft(content, this.options.timers.now())),
     };
   }
 
-  /** Calls back once a content is quarantined, until it is cancelled. */
-  whenQuarantined(content: string, run: () => void): ports.Cancel {
+  /** Registers a callback for the quarantine of a content; the returned function unregisters it. */
+  whenQuarantined(content: string, callback: () => void): ports.Cancel {
     const listeners = this.listeners.get(content) ?? new Set();
     this.listeners.set(content, listeners);
-    listeners.add(run);
+    listeners.add(callback);
     return () => {
-      listeners.delete(run);
+      listeners.delete(callback);
       if (listeners.size === 0 && this.listeners.get(content) === listeners) {
         this.listeners.delete(content);
       }
     };
   }
 
-  /** Notes that an upstream has answered a content in whole. */
+  /** Records a complete answer to a content, which voids its earlier crashes. */
   answered(content: string): void {
-    if (this.ledger.answered(content, this.options.timers.now())) {
+    if (this.store.recordAnswer(content, this.options.timers.now())) {
       this.options.log.info('crashesVoid', { content, cause: 'answered' });
       this.options.tell(content);
     }
   }
 
-  /** Takes in what others know. */
-  take(cases: readonly types.CaseRecord[]): void {
-    for (const record of cases) {
-      this.ledger.merge(record, this.options.timers.now());
+  /** Merges crash records from other processes. */
+  take(records: readonly types.CaseRecord[]): void {
+    for (const record of records) {
+      this.store.merge(record, this.options.timers.now());
     }
   }
 
-  /** Everything that is held against a content; undefined where nothing is. */
+  /** The crash record of a content; undefined if there is none. */
   caseOf(content: string): types.CaseRecord | undefined {
-    return this.ledger.caseOf(content, this.options.timers.now());
+    return this.store.recordOf(content, this.options.timers.now());
   }
 
-  /** Contents against which anything is held. */
+  /** Contents that have a crash record. */
   contents(): readonly string[] {
-    return this.ledger.newsSince(0, this.options.timers.now()).cases.map(({ content }) => content);
+    return this.store.updatesSince(0, this.options.timers.now()).cases.map(({ content }) => content);
   }
 
-  /** Contents that are quarantined. */
   get quarantined(): readonly string[] {
-    return this.ledger.quarantined;
+    return this.store.quarantined;
   }
 
   private onCrash({ content, instance, sign, request }: crashDetector.DetectedCrash): void {
-    const { timers, log, metrics, tell } = this.options;
-    if (!this.ledger.hold(content, instance, timers.now())) {
+    const { timers, log, metrics, tell: report } = this.options;
+    if (!this.store.recordCrash(content, instance, timers.now())) {
       return;
     }
     log.info('crashHeld', {
@@ -120,24 +116,24 @@
       content,
       upstream: instance,
       sign,
-      ends: this.ledger.instancesOf(content).length,
-      verdict: this.ledger.verdictOf(content),
+      ends: this.store.instancesOf(content).length,
+      verdict: this.store.verdictOf(content),
     });
     metrics.count('quarantine.crashes', 1, { sign });
-    tell(content);
+    report(content);
   }
 
   private onVerdictChange({ content, change, instances }: crashLedger.VerdictChange): void {
     const { log, metrics } = this.options;
-    metrics.gauge('quarantine.contents', this.ledger.quarantined.length);
+    metrics.gauge('quarantine.contents', this.store.quarantined.length);
     if (change !== 'quarantined') {
       log.warn('quarantineLifted', { content, cause: change });
       metrics.count('quarantine.lifted', 1, { cause: change });
       return;
     }
     log.warn('quarantined', { content, ended: instances.join(' ') });
-    for (const run of [...(this.listeners.get(content) ?? [])]) {
-      run();
+    for (const callback of [...(this.listeners.get(content) ?? [])]) {
+      callback();
     }
   }
 }
--- a/packages/kumquatfront/src/quarantine/types.ts
+++ b/packages/kumquatfront/src/quarantine/types.ts
@@ -1,32 +1,32 @@
 /**
- * What processes tell each other of upstreams that ended under certain requests. Times are milliseconds.
+ * Crash records that processes exchange about requests whose upstreams crashed. Times are milliseconds.
  */
 import type * as ports from '../kernel/ports.js';
 
-/** What is held against a content: `quarantined` is sent to no upstream, of `suspected` some ends are held. */
+/** State of a content: `quarantined` is sent to no upstream; `suspected` has some recorded crashes. */
 export type Verdict = 'free' | 'suspected' | 'quarantined';
 
-/** An upstream instance that ended while it ran a content. */
-export interface HeldCrash {
+/** A crash of an upstream instance while it ran a content. */
+export interface InstanceCrash {
   readonly instance: string;
-  /** Time since it ended. */
+  /** Time since the crash. */
   readonly age: ports.Milliseconds;
 }
 
-/** Everything that is held against one content, as it goes between processes; it is merged, never replaced. */
+/** All recorded crashes of one content, as exchanged between processes. Receivers merge it into their own record. */
 export interface CaseRecord {
   /** Digest of the content. */
   readonly content: string;
-  readonly crashes: readonly HeldCrash[];
-  /** Time since all before became void: it was answered, or a quarantine ran out. Absent where nothing did. */
+  readonly crashes: readonly InstanceCrash[];
+  /** Time since earlier crashes were voided by an answer or an expired quarantine; absent if that never happened. */
   readonly voidedAge?: ports.Milliseconds;
-  /** Time since it was quarantined by what replicas had agreed on; absent where its crashes tell by themselves. */
+  /** Time since a quarantine from the replicated log was applied; absent if it follows from `crashes` alone. */
   readonly imposedAge?: ports.Milliseconds;
-  /** Quarantines that have run out before. */
+  /** Number of earlier quarantines that expired. */
   readonly lapses: number;
 }
 
-/** Cases that changed since a revision of one publisher. */
+/** Crash records that changed after a given revision of one publisher. */
 export interface CaseNews {
   readonly revision: number;
   readonly cases: readonly CaseRecord[];
--- a/packages/kumquatfront/src/warmUp/entryShare.ts
+++ b/packages/kumquatfront/src/warmUp/entryShare.ts
@@ -1,83 +1,87 @@
 /**
- * One entry's share of what all entries together may send to an upstream in any span of some length.
+ * Share of one entry in the number of requests that all entries together may send to an upstream in a sliding window.
  *
- * With seventy entries before an upstream that takes thirty requests a second the share of each is less than one.
- * Rounded down nobody would ever send, rounded up all of them together twice as much as it tolerates. So each entry draws
- * whether the broken part of its share is one request for it, by its own name and the upstream's identity: the same
- * entries have one in every second, so that no window holds the draws of two, and others have one at the next upstream.
+ * With many entries a share may be less than one request: rounding it down would starve the upstream, rounding it up
+ * would overload it. Each entry therefore rounds up or down by a hash of its name and the upstream's identity. The
+ * result differs between upstreams but not between windows, so that a sliding window never mixes differently rounded
+ * shares.
  */
 import type * as ports from '../kernel/ports.js';
 import * as rendezvous from '../utils/rendezvous.js';
 import * as recentCount from './recentCount.js';
 
 /**
- * The number of entries counts for this long after it has gone down: entries that cannot be heard by control for some
- * seconds still send, and those that hear of their return last still count without them.
+ * How long a higher number of entries is used after it has decreased: entries that are temporarily cut off from control
+ * still send requests.
  */
-const COUNT_KEPT: ports.Milliseconds = 30_000;
+const COUNT_RETENTION: ports.Milliseconds = 30_000;
 
-/** What draws are spread over: the range of the hash. */
+/** Range of the hash that decides the rounding. */
 const HASH_RANGE = 2 ** 32;
 
-/** The share; see the module comment. */
+/** Sending share of one entry; see the module comment. */
 export class EntryShare {
-  private readonly sent: recentCount.RecentCount;
-  private most = { entries: 0, at: Number.NEGATIVE_INFINITY };
+  private readonly sentCounter: recentCount.RecentCount;
+  private recentMaximum = { entries: 0, at: Number.NEGATIVE_INFINITY };
 
   /**
    * @param entry - name of this entry
-   * @param entriesNow - how many entries there are; 0 while that is not known
-   * @param window - the share is for any span of this length, wherever it begins
+   * @param currentEntryCount - returns the number of entries; 0 while unknown
+   * @param window - length of the sliding window
    */
   constructor(
     private readonly entry: string,
-    private readonly entriesNow: () => number,
+    private readonly currentEntryCount: () => number,
     window: ports.Milliseconds,
   ) {
-    this.sent = new recentCount.RecentCount(window);
+    this.sentCounter = new recentCount.RecentCount(window);
   }
 
   /**
-   * True where one more request may go to an upstream. Before this entry knows how many others there are it sends
-   * none: all that start together would each take the whole.
+   * Returns true if one more request may be sent to an upstream. While the number of entries is unknown, none may:
+   * entries that start together would each use the full total.
    *
-   * @param identity - the upstream
-   * @param ofAll - requests in a window for all entries together
-   * @param now - the moment
+   * @param identity - identity of the upstream
+   * @param totalPerWindow - requests that all entries together may send in a window
+   * @param now - current time
    */
-  maySend(identity: string, ofAll: number, now: ports.Milliseconds): boolean {
-    return this.sent.of(identity, now) < this.shareOf(identity, ofAll, now);
+  maySend(identity: string, totalPerWindow: number, now: ports.Milliseconds): boolean {
+    return this.sentCounter.of(identity, now) < this.shareOf(identity, totalPerWindow, now);
   }
 
-  /** When the next request may go to an upstream; undefined where this entry has no share of it. */
-  maySendAt(identity: string, ofAll: number, now: ports.Milliseconds): ports.Milliseconds | undefined {
-    const share = this.shareOf(identity, ofAll, now);
-    return share === 0 ? undefined : this.sent.belowAt(identity, share, now);
+  /** Time at which the next request may be sent to an upstream; undefined if this entry has no share. */
+  nextSendAt(
+    identity: string,
+    totalPerWindow: number,
+    now: ports.Milliseconds,
+  ): ports.Milliseconds | undefined {
+    const share = this.shareOf(identity, totalPerWindow, now);
+    return share === 0 ? undefined : this.sentCounter.timeBelow(identity, share, now);
   }
 
-  private shareOf(identity: string, ofAll: number, now: ports.Milliseconds): number {
-    const entries = this.entriesAt(now);
+  private shareOf(identity: string, totalPerWindow: number, now: ports.Milliseconds): number {
+    const entries = this.entryCountAt(now);
     if (entries === 0) {
       return 0;
     }
-    const share = ofAll / entries;
+    const share = totalPerWindow / entries;
     const whole = Math.floor(share);
-    const drawn = rendezvous.hash(`${this.entry} ${identity}`) / HASH_RANGE < share - whole ? 1 : 0;
-    return whole + drawn;
+    const roundedUp = rendezvous.hash(`${this.entry} ${identity}`) / HASH_RANGE < share - whole ? 1 : 0;
+    return whole + roundedUp;
   }
 
-  /** Notes a request to an upstream. */
-  sentTo(identity: string, now: ports.Milliseconds): void {
-    this.sent.add(identity, now);
+  /** Counts a request sent to an upstream. */
+  recordSent(identity: string, now: ports.Milliseconds): void {
+    this.sentCounter.add(identity, now);
   }
 
-  /** How many entries share; 0 while that is not known. */
-  entriesAt(now: ports.Milliseconds): number {
-    const entries = this.entriesNow();
-    const isOld = now - this.most.at > COUNT_KEPT;
-    if (entries > 0 && (entries >= this.most.entries || isOld)) {
-      this.most = { entries, at: now };
+  /** Number of entries that share the total; 0 while unknown. */
+  entryCountAt(now: ports.Milliseconds): number {
+    const entries = this.currentEntryCount();
+    const isOld = now - this.recentMaximum.at > COUNT_RETENTION;
+    if (entries > 0 && (entries >= this.recentMaximum.entries || isOld)) {
+      this.recentMaximum = { entries, at: now };
     }
-    return this.most.entries;
+    return this.recentMaximum.entries;
   }
 }
--- a/packages/kumquatfront/src/warmUp/recentCount.ts
+++ b/packages/kumquatfront/src/warmUp/recentCount.ts
@@ -1,20 +1,21 @@
 /**
- * Counts what happened to each of some keys lately.
+ * Counts events by key in a sliding time window.
  */
 import type * as ports from '../kernel/ports.js';
 
-/** The count; see the module comment. */
+/** Sliding-window counter; see the module comment. */
 export class RecentCount {
   private readonly times = new Map<string, ports.Milliseconds[]>();
   private prunedAt = 0;
 
   /**
-   * @param window - what is counted: any span of this length, wherever it begins
+   * @param window - length of the sliding window
    */
   constructor(private readonly window: ports.Milliseconds) {}
 
+  /** Counts an event. */
   add(key: string, now: ports.Milliseconds): void {
-    const times = this.recent(key, now);
+    const times = this.recentTimes(key, now);
     times.push(now);
     this.times.set(key, times);
     if (now - this.prunedAt > this.window) {
@@ -23,27 +24,28 @@
     }
   }
 
+  /** Number of events in the window that ends now. */
   of(key: string, now: ports.Milliseconds): number {
-    return this.recent(key, now).length;
+    return this.recentTimes(key, now).length;
   }
 
-  /** Moment at which fewer than a number of them are counted; now where that is so already. */
-  belowAt(key: string, count: number, now: ports.Milliseconds): ports.Milliseconds {
-    const times = this.recent(key, now);
-    const leaves = times[times.length - count];
-    return leaves === undefined ? now : leaves + this.window;
+  /** Earliest time at which fewer than `count` events are in the window; `now` if that is already the case. */
+  timeBelow(key: string, count: number, now: ports.Milliseconds): ports.Milliseconds {
+    const times = this.recentTimes(key, now);
+    const expiring = times[times.length - count];
+    return expiring === undefined ? now : expiring + this.window;
   }
 
-  /** Forgets keys to which nothing happened lately. */
+  /** Removes keys without events in the window. */
   prune(now: ports.Milliseconds): void {
     for (const key of this.times.keys()) {
-      if (this.recent(key, now).length === 0) {
+      if (this.recentTimes(key, now).length === 0) {
         this.times.delete(key);
       }
     }
   }
 
-  private recent(key: string, now: ports.Milliseconds): ports.Milliseconds[] {
+  private recentTimes(key: string, now: ports.Milliseconds): ports.Milliseconds[] {
     const times = this.times.get(key) ?? [];
     const first = times.findIndex((time) => now - time <= this.window);
     times.splice(0, first < 0 ? times.length : first);
