--- a/packages/kumquatfront/src/warmUp/warmUp.spec.ts
+++ b/packages/kumquatfront/src/warmUp/warmUp.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Cold upstreams under many senders that cannot ask each other: no second holds more than the bound, and none starves.
+ * Cold upstreams with many uncoordinated senders: the limit holds in every second, and no upstream is starved.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -19,8 +19,8 @@
   tolerance: fastCheck.integer({ min: 3, max: 10 }),
 });
 
-/** Most moments of a sorted list that any one second holds. */
-function mostInWindow(times: readonly number[]): number {
+/** Maximum number of sorted times within any one second. */
+function maxInWindow(times: readonly number[]): number {
   let most = 0;
   let first = 0;
   for (const [index, time] of times.entries()) {
@@ -32,15 +32,20 @@
   return most;
 }
 
-/** Every entry sends to one cold upstream whenever it may, at moments of its own; gives all moments, in order. */
-function sendAll(entryCount: number, identity: string, ofAll: number, seed: number): readonly number[] {
+/** Sends from every entry to one cold upstream whenever its share permits; returns all times, sorted. */
+function sendAll(
+  entryCount: number,
+  identity: string,
+  totalPerWindow: number,
+  seed: number,
+): readonly number[] {
   const random = seededRandom.create(seed);
   const times: number[] = [];
   for (let index = 0; index < entryCount; index += 1) {
     const share = new entryShare.EntryShare(`edge-${index}`, () => entryCount, WINDOW);
     for (let now = random.next() * 300; now < 4_000; now += random.next() * 200) {
-      if (share.maySend(identity, ofAll, now)) {
-        share.sentTo(identity, now);
+      if (share.maySend(identity, totalPerWindow, now)) {
+        share.recordSent(identity, now);
         times.push(now);
       }
     }
@@ -48,7 +53,7 @@
   return times.sort((left, right) => left - right);
 }
 
-void test.test('what two coordinators and all entries may send stays inside the bound', () => {
+void test.test('two coordinators and all entries together stay within the bound', () => {
   fastCheck.assert(
     fastCheck.property(bounds, ({ requestsPerSecond, overshoot, tolerance }) => {
       const warmUp = { requestsPerSecond, duration: 1_000 };
@@ -63,22 +68,22 @@
   );
 });
 
-// Seventy-five entries before an upstream that tolerates 31 a second: each share is a third of a request.
-void test.test('entries whose shares are less than one neither run an upstream down nor starve it', () => {
+// 75 entries share an upstream that tolerates 31 requests per second, so each share is less than one request.
+void test.test('entries with shares below one request neither overload an upstream nor starve it', () => {
   const warmUp = { requestsPerSecond: 31, duration: 1_000 };
   const tolerance = { overshoot: 1.5, tolerance: 5 };
   const ofAll = warmUpBounds.ofEntries(warmUp, tolerance, 'entries');
   let sum = 0;
   const UPSTREAMS = 200;
   for (let index = 0; index < UPSTREAMS; index += 1) {
-    const most = mostInWindow(sendAll(75, `i-${index}`, ofAll, index));
+    const most = maxInWindow(sendAll(75, `i-${index}`, ofAll, index));
     assert.ok(most <= 51.5, `${most} in a second`);
     sum += most;
   }
-  assert.ok(sum / UPSTREAMS > 0.8 * ofAll, `${sum / UPSTREAMS} in the mean`);
+  assert.ok(sum / UPSTREAMS > 0.8 * ofAll, `${sum / UPSTREAMS} on average`);
 });
 
-void test.test('the bound is kept for any number of entries and any upstream', () => {
+void test.test('the bound holds for any number of entries and any upstream', () => {
   const entryCounts = fastCheck.integer({ min: 1, max: 200 });
   fastCheck.assert(
     fastCheck.property(
@@ -89,17 +94,17 @@
         const warmUp = { requestsPerSecond, duration: 1_000 };
         const ofAll = warmUpBounds.ofEntries(warmUp, { overshoot, tolerance }, 'entries');
         const times = sendAll(count, `i-${seed}`, ofAll, seed);
-        assert.ok(mostInWindow(times) <= requestsPerSecond * overshoot + tolerance);
+        assert.ok(maxInWindow(times) <= requestsPerSecond * overshoot + tolerance);
       },
     ),
     { seed: 7, numRuns: 60 },
   );
 });
 
-// Control and half of the entries are cut off together; those on the other side hear of half as many. They must not
-// take double shares: the others still send, and on the return of the link all do.
+// A network partition hides half of the entries. The others must not double their shares, because the hidden entries
+// still send.
 void test.test(
-  'an entry that hears of fewer others keeps its share for a while, and of none for good',
+  'an entry keeps its share for some time when fewer entries are known, and indefinitely when none are',
   () => {
     let entries = 40;
     const share = new entryShare.EntryShare('edge-1', () => entries, WINDOW);
@@ -107,7 +112,7 @@
       const probe = 400;
       let count = 0;
       while (count < probe && share.maySend('i', 20 * 40, now)) {
-        share.sentTo('i', now);
+        share.recordSent('i', now);
         count += 1;
       }
       return count;
@@ -122,12 +127,12 @@
   },
 );
 
-void test.test('an entry that does not know yet how many there are sends nothing to a cold upstream', () => {
+void test.test('an entry sends nothing to a cold upstream while the number of entries is unknown', () => {
   const share = new entryShare.EntryShare('edge-1', () => 0, WINDOW);
   assert.equal(share.maySend('i', 1_000, 0), false);
 });
 
-void test.test('a count holds one second and forgets keys', () => {
+void test.test('a counter covers one second and removes unused keys', () => {
   const count = new recentCount.RecentCount(WINDOW);
   count.add('a', 0);
   count.add('a', 600);
--- a/packages/scenarios/src/scripts/backPressureSafeguards.ts
+++ b/packages/scenarios/src/scripts/backPressureSafeguards.ts
@@ -8,7 +8,7 @@
   {
     name: 'an upstream is sent no more than its rate limit',
     file: 'backPressure/sendRules.js',
-    find: 'return this.rateHoldOf(instance, now);',
+    find: 'return this.rateLimitExclusionOf(instance, now);',
     replace: 'return undefined;',
     scenario: 'spec:backPressure/rateLimitedUpstream',
   },
@@ -50,8 +50,8 @@
   {
     name: 'entries share a rate limit',
     file: 'backPressure/sendRules.js',
-    find: 'rateLimitShare.ofEntries(perSecond, entries)',
-    replace: 'entries * rateLimitShare.ofEntries(perSecond, 1)',
+    find: 'rateLimitShare.requestsPerWindow(perSecond, entries)',
+    replace: 'entries * rateLimitShare.requestsPerWindow(perSecond, 1)',
     scenario: 'spec:backPressure/rateLimitedUpstream',
   },
   {
@@ -71,7 +71,7 @@
   {
     name: 'entries tell each other of rate limits',
     file: 'backPressure/signalBook.js',
-    find: 'tell(identity, heard.perSecond);',
+    find: 'publishRateLimit(identity, local.perSecond);',
     replace: '',
     scenario: 'spec:backPressure/rateLimitedUpstream',
   },
--- a/packages/scenarios/src/scripts/dataCentreSafeguards.ts
+++ b/packages/scenarios/src/scripts/dataCentreSafeguards.ts
@@ -57,7 +57,7 @@
   {
     name: 'the gate withholds what was chosen before the evacuation was known',
     file: 'quarantine/guardedUpstreams.js',
-    find: 'if (hold !== undefined && !mayGoOn(call, hold)) {',
+    find: 'if (exclusion !== undefined && !mayResumeFromCopy(call, exclusion)) {',
     replace: 'if (false) {',
     scenario: 'spec:quarantine/guardedUpstreams',
   },
@@ -71,7 +71,7 @@
   {
     name: 'an entry chooses a cold upstream within its share only',
     file: 'backPressure/sendRules.js',
-    find: 'return this.holdOf(instance, now) ?? this.coldHoldOf(instance, now);',
+    find: 'return this.holdOf(instance, now) ?? this.warmUpExclusionOf(instance, now);',
     replace: 'return this.holdOf(instance, now);',
     scenario: 'spec:trafficEntry/evacuatedDataCentre',
   },
@@ -85,7 +85,7 @@
   {
     name: 'an entry keeps its share while it hears of fewer others',
     file: 'warmUp/entryShare.js',
-    find: 'entries >= this.most.entries || isOld',
+    find: 'entries >= this.recentMaximum.entries || isOld',
     replace: 'true',
     scenario: 'spec:warmUp/warmUp',
   },
