--- a/packages/kumquatfront/src/backPressure/pausedUpstream.spec.ts
+++ b/packages/kumquatfront/src/backPressure/pausedUpstream.spec.ts
@@ -59,15 +59,15 @@
   const harness = new crashBench.CrashBench(7, { llm: 1, app: 4 }, () => 'served');
   harness.headOf = (upstream) => (upstream === 'app-1' ? leaving : relayBench.soundHead);
   harness.generateLoad('app', 24, 12_000);
-  const toldAt = new Map<string, ports.Milliseconds>();
+  const announcedAt = new Map<string, ports.Milliseconds>();
   for (const { entry, upstream, at } of harness.answers) {
-    if (upstream === 'app-1' && !toldAt.has(entry)) {
-      toldAt.set(entry, at);
+    if (upstream === 'app-1' && !announcedAt.has(entry)) {
+      announcedAt.set(entry, at);
     }
   }
-  assert.equal(toldAt.size, 7);
+  assert.equal(announcedAt.size, 7);
   const late = harness.arrivals.filter(
-    ({ upstream, entry, at }) => upstream === 'app-1' && at > (toldAt.get(entry) ?? 0) + DRAIN_LIMIT,
+    ({ upstream, entry, at }) => upstream === 'app-1' && at > (announcedAt.get(entry) ?? 0) + DRAIN_LIMIT,
   );
   assert.equal(late.length, 0);
 });
--- a/packages/kumquatfront/src/backPressure/signalBook.spec.ts
+++ b/packages/kumquatfront/src/backPressure/signalRegistry.spec.ts
@@ -26,12 +26,12 @@
   time: virtualTime.VirtualTime;
   events: string[];
   publications: (number | undefined)[];
-  others: { told: types.KnownRateLimit | undefined };
+  others: { published: types.KnownRateLimit | undefined };
 } {
   const time = new virtualTime.VirtualTime();
   const events: string[] = [];
   const publications: (number | undefined)[] = [];
-  const others: { told: types.KnownRateLimit | undefined } = { told: undefined };
+  const others: { published: types.KnownRateLimit | undefined } = { published: undefined };
   const nothing = (): void => undefined;
   const write = (event: string): number => events.push(event);
   const log: ports.Log = { debug: nothing, info: write, warn: write, error: write };
@@ -40,7 +40,7 @@
     log,
     metrics: { count: nothing, gauge: nothing, timing: nothing },
     noteNotice: () => true,
-    toldOf: () => others.told,
+    toldOf: () => others.published,
     tell: (_identity, perSecond) => publications.push(perSecond),
   });
   return { registry, time, events, publications, others };
@@ -61,11 +61,11 @@
 void test.test('the newer of the local limit and the limit from other entries applies', () => {
   const { registry, time, others } = createRegistry();
   time.advance(1_000);
-  others.told = { perSecond: 3, heardAt: 500 };
+  others.published = { perSecond: 3, heardAt: 500 };
   assert.equal(registry.rateLimitOf('a'), 3);
   registry.applySignals(instance, withRateLimit(2), 900);
   assert.equal(registry.rateLimitOf('a'), 2);
-  others.told = { perSecond: undefined, heardAt: 1_200 };
+  others.published = { perSecond: undefined, heardAt: 1_200 };
   assert.equal(registry.rateLimitOf('a'), undefined);
 });
 
@@ -79,13 +79,13 @@
       registry.applySignals(instance, withRateLimit(perSecond), time.now());
     }
     assert.deepEqual(publications, [2]);
-    others.told = { perSecond: 2, heardAt: 1_000 };
+    others.published = { perSecond: 2, heardAt: 1_000 };
     time.advance(2_000);
     registry.applySignals(instance, withRateLimit(1.95), time.now());
     assert.deepEqual(publications, [2]);
     registry.applySignals(instance, withRateLimit(1), time.now());
     assert.deepEqual(publications, [2, 1]);
-    others.told = { perSecond: 1, heardAt: 3_000 };
+    others.published = { perSecond: 1, heardAt: 3_000 };
     time.advance(2_000);
     registry.applySignals(instance, noSignals, time.now());
     assert.deepEqual(publications, [2, 1, undefined]);
--- a/packages/kumquatfront/src/quarantine/caseBook.ts
+++ b/packages/kumquatfront/src/quarantine/caseBook.ts
@@ -7,7 +7,7 @@
  */
 import type * as agreedTypes from '../agreedState/types.js';
 import type * as ports from '../kernel/ports.js';
-import * as crashLedger from './crashLedger.js';
+import * as crashRecordStore from './crashRecordStore.js';
 import type * as types from './types.js';
 
 /** Dependencies and limits of the registry. */
@@ -30,19 +30,20 @@
 /** Collects, publishes and replicates quarantines; see the module comment. */
 export class CaseBook {
   private readonly options: QuarantineRegistryOptions;
-  private readonly store: crashLedger.CrashRecordStore;
+  private readonly store: crashRecordStore.CrashRecordStore;
   private appliedQuarantines: readonly string[] = [];
   private readonly proposedAt = new Map<string, ports.Milliseconds>();
 
   constructor(options: QuarantineRegistryOptions) {
     this.options = options;
     const { log, metrics } = options;
-    this.store = new crashLedger.CrashRecordStore(({ content, change, instances }) => {
+    this.store = new crashRecordStore.CrashRecordStore(({ content, change, instances }) => {
       log.info('caseChanged', { content, change, ended: instances.join(' ') });
       metrics.gauge('quarantine.contents', this.store.quarantined.length);
     });
   }
 
+  /** Increases with every change of any record. */
   get revision(): number {
     this.applyAgreedQuarantines();
     return this.store.revision;
--- a/packages/kumquatfront/src/quarantine/crashDetector.spec.ts
+++ b/packages/kumquatfront/src/quarantine/crashDetector.spec.ts
@@ -124,15 +124,15 @@
 // Eight runs break with their instance: one check, and one callback for each run.
 void test.test('an instance is checked once for all of its broken runs', () => {
   const harness = new Harness();
-  let told = 0;
+  let calls = 0;
   for (let index = 0; index < 8; index += 1) {
     const run = harness.detector.begun('a', `x${index}`, 'r');
     harness.detector.broke(harness.instance(), run, () => {
-      told += 1;
+      calls += 1;
     });
   }
   harness.time.advance(1_000);
-  assert.deepEqual([harness.checks, harness.crashes.length, told], [1, 8, 8]);
+  assert.deepEqual([harness.checks, harness.crashes.length, calls], [1, 8, 8]);
 });
 
 // A request found the port closed, and no run was on the instance.
@@ -146,7 +146,7 @@
 // In a network partition a check may hang; an exchange must not wait for it.
 void test.test('the wait for a connection check is bounded', () => {
   const harness = new Harness();
-  let toldAt: number | undefined;
+  let calledAt: number | undefined;
   const slow = new crashDetector.CrashDetector({
     timers: timerService.create(harness.time.clock, harness.time),
     check: () => undefined,
@@ -155,8 +155,8 @@
     onEnded: () => undefined,
   });
   slow.broke(harness.instance(), slow.begun('a', 'x', 'r'), () => {
-    toldAt = harness.time.now();
+    calledAt = harness.time.now();
   });
   harness.time.advance(1_000);
-  assert.ok(toldAt !== undefined && toldAt <= 100);
+  assert.ok(calledAt !== undefined && calledAt <= 100);
 });
--- a/packages/kumquatfront/src/quarantine/crashLedger.spec.ts
+++ b/packages/kumquatfront/src/quarantine/crashRecordStore.spec.ts
@@ -7,13 +7,13 @@
 
 import * as fc from 'fast-check';
 
-import * as crashLedger from './crashLedger.js';
+import * as crashRecordStore from './crashRecordStore.js';
 import type * as types from './types.js';
 
 const MINUTE = 60_000;
 
 function recordCrashes(
-  store: crashLedger.CrashRecordStore,
+  store: crashRecordStore.CrashRecordStore,
   content: string,
   instances: readonly string[],
 ): void {
@@ -23,9 +23,9 @@
 }
 
 /** Creates a store with one quarantined content, and a list of its reported changes. */
-function createQuarantined(): { store: crashLedger.CrashRecordStore; changes: string[] } {
+function createQuarantined(): { store: crashRecordStore.CrashRecordStore; changes: string[] } {
   const changes: string[] = [];
-  const store = new crashLedger.CrashRecordStore(({ content, change }) =>
+  const store = new crashRecordStore.CrashRecordStore(({ content, change }) =>
     changes.push(`${content} ${change}`),
   );
   recordCrashes(store, 'x', ['a', 'b', 'c']);
@@ -33,7 +33,7 @@
 }
 
 void test.test('crashes of three different instances quarantine a content', () => {
-  const store = new crashLedger.CrashRecordStore();
+  const store = new crashRecordStore.CrashRecordStore();
   recordCrashes(store, 'x', ['a', 'b', 'a', 'b']);
   assert.equal(store.verdictOf('x'), 'suspected');
   store.recordCrash('x', 'c', 9);
@@ -43,7 +43,7 @@
 
 // A content that an upstream answered does not crash every upstream that runs it.
 void test.test('an answer voids earlier crashes', () => {
-  const store = new crashLedger.CrashRecordStore();
+  const store = new crashRecordStore.CrashRecordStore();
   recordCrashes(store, 'x', ['a', 'b']);
   assert.equal(store.recordAnswer('x', 10), true);
   assert.equal(store.verdictOf('x'), 'free');
@@ -67,7 +67,7 @@
 });
 
 void test.test('crashes that are far apart are not counted together', () => {
-  const store = new crashLedger.CrashRecordStore();
+  const store = new crashRecordStore.CrashRecordStore();
   recordCrashes(store, 'x', ['a', 'b']);
   store.expire(11 * MINUTE);
   store.recordCrash('x', 'c', 11 * MINUTE);
@@ -77,14 +77,14 @@
 // The upstreams may have been repaired, or the verdict may have been wrong; one more crash confirms it.
 void test.test('a quarantine expires, and one more crash starts a longer one', () => {
   const { store, changes } = createQuarantined();
-  const end = crashLedger.FIRST_QUARANTINE_DURATION + 2;
+  const end = crashRecordStore.FIRST_QUARANTINE_DURATION + 2;
   store.expire(end - 1);
   assert.equal(store.verdictOf('x'), 'quarantined');
   store.expire(end);
   assert.equal(store.verdictOf('x'), 'free');
   store.recordCrash('x', 'd', end + MINUTE);
   assert.equal(store.verdictOf('x'), 'quarantined');
-  store.expire(end + 5 * crashLedger.FIRST_QUARANTINE_DURATION);
+  store.expire(end + 5 * crashRecordStore.FIRST_QUARANTINE_DURATION);
   assert.equal(store.verdictOf('x'), 'quarantined');
   assert.deepEqual(changes, ['x quarantined', 'x lapsed', 'x quarantined']);
 });
@@ -92,7 +92,7 @@
 // A peer whose clock is slightly behind publishes a quarantine that has already expired here.
 void test.test('an expired quarantine is not restored by the record of a peer', () => {
   const { store } = createQuarantined();
-  const end = crashLedger.FIRST_QUARANTINE_DURATION + 2;
+  const end = crashRecordStore.FIRST_QUARANTINE_DURATION + 2;
   const late = store.recordOf('x', end - 1);
   assert.ok(late !== undefined);
   store.expire(end);
@@ -151,8 +151,8 @@
   });
   fc.assert(
     fc.property(agreeing, fc.nat(), (records, offset) => {
-      const inOrder = new crashLedger.CrashRecordStore();
-      const shuffled = new crashLedger.CrashRecordStore();
+      const inOrder = new crashRecordStore.CrashRecordStore();
+      const shuffled = new crashRecordStore.CrashRecordStore();
       const split = records.length === 0 ? 0 : offset % records.length;
       records.forEach((crashRecord) => inOrder.merge(crashRecord, NOW));
       [...records.slice(split), ...records.slice(0, split), ...records].forEach((crashRecord) =>
--- a/packages/kumquatfront/src/quarantine/crashLedger.ts
+++ b/packages/kumquatfront/src/quarantine/crashRecordStore.ts
@@ -77,12 +77,14 @@
     return this.currentRevision;
   }
 
+  /** Contents that are currently quarantined. */
   get quarantined(): readonly string[] {
     return [...this.records.values()]
       .filter((known) => known.quarantinedAt !== undefined)
       .map(({ content }) => content);
   }
 
+  /** Verdict on a content; `free` if it has no record. */
   verdictOf(content: string): types.Verdict {
     const known = this.records.get(content);
     if (known === undefined) {
--- a/packages/kumquatfront/src/quarantine/guardedUpstreams.spec.ts
+++ b/packages/kumquatfront/src/quarantine/guardedUpstreams.spec.ts
@@ -12,18 +12,18 @@
   instance: instanceView.Instance,
   dataCentres?: readonly string[],
 ): string[] {
-  const told: string[] = [];
+  const events: string[] = [];
   const { request } = harness.routed('stream');
   harness.context.upstreams.send(
     { request, instance, timeLeft: 1_000, dataCentres },
     {
-      head: () => told.push('head'),
-      data: () => told.push('data'),
-      end: () => told.push('end'),
-      failed: (failure) => told.push(failure),
+      head: () => events.push('head'),
+      data: () => events.push('data'),
+      end: () => events.push('end'),
+      failed: (failure) => events.push(failure),
     },
   );
-  return told;
+  return events;
 }
 
 // An outdated decision of the coordinator, or a copy started earlier, may lead to a data centre evacuated since. The
@@ -33,10 +33,10 @@
   const instance = harness.context.instances.get('a');
   assert.ok(instance);
   harness.context.instances.setEvacuated([instance.dataCentre]);
-  const told = send(harness, instance);
-  assert.deepEqual(told, []);
+  const events = send(harness, instance);
+  assert.deepEqual(events, []);
   harness.time.advance(1);
-  assert.deepEqual(told, ['withheld']);
+  assert.deepEqual(events, ['withheld']);
   assert.equal(harness.sent.length, 0);
   harness.context.instances.setEvacuated([]);
   send(harness, instance);
@@ -48,9 +48,9 @@
   const harness = new relayBench.RelayBench(['a']);
   const instance = harness.context.instances.get('a');
   assert.ok(instance);
-  const told = send(harness, instance, ['elsewhere']);
+  const events = send(harness, instance, ['elsewhere']);
   harness.time.advance(1);
-  assert.deepEqual(told, ['withheld']);
+  assert.deepEqual(events, ['withheld']);
   assert.equal(harness.sent.length, 0);
   send(harness, instance, [instance.dataCentre]);
   assert.equal(harness.sent.length, 1);
--- a/packages/kumquatfront/src/quarantine/quarantine.spec.ts
+++ b/packages/kumquatfront/src/quarantine/quarantine.spec.ts
@@ -253,7 +253,7 @@
   }
   harness.time.advance(150 * gap + 8_000);
   const crashCounts = new Map<string, number>();
-  for (const content of harness.crashes.flatMap(({ otherContents: beside }) => beside)) {
+  for (const content of harness.crashes.flatMap(({ otherContents }) => otherContents)) {
     crashCounts.set(content, (crashCounts.get(content) ?? 0) + 1);
   }
   const counts = [...crashCounts]
--- a/packages/kumquatfront/src/quarantine/quarantine.ts
+++ b/packages/kumquatfront/src/quarantine/quarantine.ts
@@ -5,7 +5,7 @@
 import type * as ports from '../kernel/ports.js';
 import type * as timerService from '../kernel/timerService.js';
 import * as crashDetector from './crashDetector.js';
-import * as crashLedger from './crashLedger.js';
+import * as crashRecordStore from './crashRecordStore.js';
 import type * as types from './types.js';
 
 /** Error message for callers whose request is quarantined. */
@@ -27,13 +27,13 @@
   /** Must be notified of the start and end of every run on an upstream. */
   readonly detector: crashDetector.CrashDetector;
   private readonly options: QuarantineOptions;
-  private readonly store: crashLedger.CrashRecordStore;
+  private readonly store: crashRecordStore.CrashRecordStore;
   private readonly listeners = new Map<string, Set<() => void>>();
 
   constructor(options: QuarantineOptions) {
     this.options = options;
     const { timers } = options;
-    this.store = new crashLedger.CrashRecordStore((change) => {
+    this.store = new crashRecordStore.CrashRecordStore((change) => {
       this.onVerdictChange(change);
     });
     this.detector = new crashDetector.CrashDetector({
@@ -51,6 +51,7 @@
     );
   }
 
+  /** Verdict on a content from all crash records known to this entry. */
   verdictOf(content: string): types.Verdict {
     return this.store.verdictOf(content);
   }
@@ -102,6 +103,7 @@
     return this.store.updatesSince(0, this.options.timers.now()).cases.map(({ content }) => content);
   }
 
+  /** Contents that are currently quarantined. */
   get quarantined(): readonly string[] {
     return this.store.quarantined;
   }
@@ -123,7 +125,7 @@
     report(content);
   }
 
-  private onVerdictChange({ content, change, instances }: crashLedger.VerdictChange): void {
+  private onVerdictChange({ content, change, instances }: crashRecordStore.VerdictChange): void {
     const { log, metrics } = this.options;
     metrics.gauge('quarantine.contents', this.store.quarantined.length);
     if (change !== 'quarantined') {
--- a/packages/kumquatfront/src/quarantine/caseBook.spec.ts
+++ b/packages/kumquatfront/src/quarantine/quarantineRegistry.spec.ts
@@ -6,7 +6,7 @@
 
 import * as agreedState from '../agreedState/agreedState.js';
 import * as caseBook from './caseBook.js';
-import * as crashLedger from './crashLedger.js';
+import * as crashRecordStore from './crashRecordStore.js';
 
 /** A registry over a log of one replica, which commits every proposal immediately. */
 class Harness {
@@ -76,7 +76,7 @@
 void test.test('an expired quarantine is released', () => {
   const harness = new Harness();
   harness.reportCrashes('x');
-  harness.now = crashLedger.FIRST_QUARANTINE_DURATION + 10;
+  harness.now = crashRecordStore.FIRST_QUARANTINE_DURATION + 10;
   harness.registry.beat();
   assert.deepEqual(harness.proposed, ['quarantine x', 'release x']);
 });
--- a/packages/scenarios/src/scripts/quarantineSafeguards.ts
+++ b/packages/scenarios/src/scripts/quarantineSafeguards.ts
@@ -5,7 +5,7 @@
 
 const SYSTEM = 'spec:quarantine/quarantine';
 const REPEATED = 'spec:quarantine/repeatedCrashes';
-const LEDGER = 'spec:quarantine/crashLedger';
+const LEDGER = 'spec:quarantine/crashRecordStore';
 const DETECTOR = 'spec:quarantine/crashDetector';
 const DIGEST = 'spec:quarantine/contentDigest';
 
@@ -13,7 +13,7 @@
 export const quarantineSafeguards: readonly types.Safeguard[] = [
   {
     name: 'nothing quarantined passes the gate of an entry',
-    file: 'quarantine/crashLedger.js',
+    file: 'quarantine/crashRecordStore.js',
     find: "return 'quarantined';",
     replace: "return 'suspected';",
     scenario: REPEATED,
@@ -69,28 +69,28 @@
   },
   {
     name: 'an answer voids what was held',
-    file: 'quarantine/crashLedger.js',
+    file: 'quarantine/crashRecordStore.js',
     find: 'if (at <= known.voidedAt) {',
     replace: 'if (false) {',
     scenario: LEDGER,
   },
   {
     name: 'an end is explained by one content',
-    file: 'quarantine/crashLedger.js',
+    file: 'quarantine/crashRecordStore.js',
     find: '!this.isExplained(instance, known)',
     replace: 'true',
     scenario: LEDGER,
   },
   {
     name: 'a quarantine rests on ends that stand',
-    file: 'quarantine/crashLedger.js',
+    file: 'quarantine/crashRecordStore.js',
     find: 'const isStillJustified = wasQuarantined && known.crashes.size >= needed;',
     replace: 'const isStillJustified = wasQuarantined;',
     scenario: LEDGER,
   },
   {
     name: 'cases are bounded',
-    file: 'quarantine/crashLedger.js',
+    file: 'quarantine/crashRecordStore.js',
     find: 'if (this.records.size <= MAX_RECORDS) {',
     replace: 'if (true) {',
     scenario: LEDGER,
