--- a/packages/kumquatfront/src/quarantine/crashDetector.ts
+++ b/packages/kumquatfront/src/quarantine/crashDetector.ts
@@ -21,13 +21,13 @@
 const CONFIRMATION_TIMEOUT: ports.Milliseconds = 8_000;
 
 /** Evidence by which the crash of an instance was confirmed. */
-export type CrashSign = 'refusesConnections' | 'startedAnew' | 'fellSilent';
+export type CrashEvidence = 'refusesConnections' | 'startedAnew' | 'fellSilent';
 
 /** A confirmed crash of an instance while it ran a content. */
 export interface DetectedCrash {
   readonly content: string;
   readonly instance: string;
-  readonly sign: CrashSign;
+  readonly sign: CrashEvidence;
   /** Identity of the attempt that ran on the instance. */
   readonly request: string;
 }
@@ -110,13 +110,13 @@
    */
   broke(instance: CheckedInstance, runId: number, done: () => void): void {
     const { identity } = instance;
-    const known = this.runs.get(identity)?.get(runId);
-    if (known === undefined || this.options.hasGivenNotice(identity)) {
+    const run = this.runs.get(identity)?.get(runId);
+    if (run === undefined || this.options.hasGivenNotice(identity)) {
       this.ended(identity, runId);
       done();
       return;
     }
-    this.runs.get(identity)?.set(runId, { ...known, brokeAt: this.options.timers.now() });
+    this.runs.get(identity)?.set(runId, { ...run, brokeAt: this.options.timers.now() });
     this.scheduleCheck(instance, onceWithTimeout(this.options.timers, done));
   }
 
@@ -163,7 +163,7 @@
     }
   }
 
-  private reportCrashes(instance: string, sign: CrashSign): void {
+  private reportCrashes(instance: string, sign: CrashEvidence): void {
     const runs = [...(this.runs.get(instance)?.values() ?? [])];
     this.runs.delete(instance);
     const oldest = this.options.timers.now() - CONFIRMATION_TIMEOUT;
--- a/packages/kumquatfront/src/quarantine/crashRecordStore.ts
+++ b/packages/kumquatfront/src/quarantine/crashRecordStore.ts
@@ -80,26 +80,26 @@
   /** Contents that are currently quarantined. */
   get quarantined(): readonly string[] {
     return [...this.records.values()]
-      .filter((known) => known.quarantinedAt !== undefined)
+      .filter((stored) => stored.quarantinedAt !== undefined)
       .map(({ content }) => content);
   }
 
   /** Verdict on a content; `free` if it has no record. */
   verdictOf(content: string): types.Verdict {
-    const known = this.records.get(content);
-    if (known === undefined) {
+    const stored = this.records.get(content);
+    if (stored === undefined) {
       return 'free';
     }
-    if (known.quarantinedAt !== undefined) {
+    if (stored.quarantinedAt !== undefined) {
       return 'quarantined';
     }
-    return this.unexplainedCrashesOf(known) > 0 ? 'suspected' : 'free';
+    return this.unexplainedCrashesOf(stored) > 0 ? 'suspected' : 'free';
   }
 
   /** Time until the quarantine of a content expires; 0 if it is not quarantined. */
   timeLeft(content: string, now: number): ports.Milliseconds {
-    const known = this.records.get(content);
-    return known?.quarantinedAt === undefined ? 0 : Math.max(0, this.quarantineEndsAt(known) - now);
+    const stored = this.records.get(content);
+    return stored?.quarantinedAt === undefined ? 0 : Math.max(0, this.quarantineEndsAt(stored) - now);
   }
 
   /** Instances that crashed while they ran a content. */
@@ -118,11 +118,11 @@
    * @returns true if there were any crashes to void
    */
   recordAnswer(content: string, now: number): boolean {
-    const known = this.records.get(content);
-    if (known === undefined || known.crashes.size === 0) {
+    const stored = this.records.get(content);
+    if (stored === undefined || stored.crashes.size === 0) {
       return false;
     }
-    return this.merge({ content, crashes: [], voidedAge: 0, lapses: known.lapses }, now);
+    return this.merge({ content, crashes: [], voidedAge: 0, lapses: stored.lapses }, now);
   }
 
   /** Quarantines a content from the replicated log, without known crashes; returns true if the record changed. */
@@ -132,24 +132,24 @@
 
   /** Merges a crash record from another process; returns true if the stored record changed. */
   merge(record: types.CaseRecord, now: number): boolean {
-    const known = this.records.get(record.content) ?? this.create(record.content, now);
-    const before = JSON.stringify(this.comparableStateOf(known));
-    known.voidedAt = Math.max(known.voidedAt, now - (record.voidedAge ?? Number.POSITIVE_INFINITY));
-    known.imposedAt = Math.max(known.imposedAt, now - (record.imposedAge ?? Number.POSITIVE_INFINITY));
-    known.lapses = Math.max(known.lapses, record.lapses);
+    const stored = this.records.get(record.content) ?? this.create(record.content, now);
+    const before = JSON.stringify(this.comparableStateOf(stored));
+    stored.voidedAt = Math.max(stored.voidedAt, now - (record.voidedAge ?? Number.POSITIVE_INFINITY));
+    stored.imposedAt = Math.max(stored.imposedAt, now - (record.imposedAge ?? Number.POSITIVE_INFINITY));
+    stored.lapses = Math.max(stored.lapses, record.lapses);
     for (const { instance, age } of record.crashes) {
-      if (!known.crashes.has(instance) && known.crashes.size < MAX_CRASHES_PER_RECORD) {
-        known.crashes.set(instance, now - age);
+      if (!stored.crashes.has(instance) && stored.crashes.size < MAX_CRASHES_PER_RECORD) {
+        stored.crashes.set(instance, now - age);
       }
     }
-    this.discardVoidedCrashes(known);
-    this.updateVerdict(known);
-    if (JSON.stringify(this.comparableStateOf(known)) === before) {
+    this.discardVoidedCrashes(stored);
+    this.updateVerdict(stored);
+    if (JSON.stringify(this.comparableStateOf(stored)) === before) {
       return false;
     }
-    known.changedAt = now;
+    stored.changedAt = now;
     this.currentRevision += 1;
-    known.revision = this.currentRevision;
+    stored.revision = this.currentRevision;
     this.evictExcessRecord();
     return true;
   }
@@ -170,15 +170,15 @@
   }
 
   /** State whose change counts as a change of the record; excludes times, which shift slightly with each transfer. */
-  private comparableStateOf(known: StoredRecord): unknown {
-    const { crashes, quarantinedAt, lapses } = known;
+  private comparableStateOf(stored: StoredRecord): unknown {
+    const { crashes, quarantinedAt, lapses } = stored;
     return [[...crashes.keys()].sort(), quarantinedAt !== undefined, lapses];
   }
 
-  private discardVoidedCrashes(known: StoredRecord): void {
-    for (const [instance, at] of known.crashes) {
-      if (at <= known.voidedAt) {
-        known.crashes.delete(instance);
+  private discardVoidedCrashes(stored: StoredRecord): void {
+    for (const [instance, at] of stored.crashes) {
+      if (at <= stored.voidedAt) {
+        stored.crashes.delete(instance);
       }
     }
   }
@@ -188,26 +188,26 @@
    * do not count towards a new quarantine, but keep an existing one: otherwise two contents with the same crashes would
    * release each other.
    */
-  private updateVerdict(known: StoredRecord): void {
-    const wasQuarantined = known.quarantinedAt !== undefined;
-    const needed = known.lapses > 0 ? CRASHES_TO_REQUARANTINE : CRASHES_TO_QUARANTINE;
-    const isImposed = known.imposedAt > known.voidedAt;
-    const isStillJustified = wasQuarantined && known.crashes.size >= needed;
-    const isQuarantined = isImposed || isStillJustified || this.unexplainedCrashesOf(known) >= needed;
+  private updateVerdict(stored: StoredRecord): void {
+    const wasQuarantined = stored.quarantinedAt !== undefined;
+    const needed = stored.lapses > 0 ? CRASHES_TO_REQUARANTINE : CRASHES_TO_QUARANTINE;
+    const isImposed = stored.imposedAt > stored.voidedAt;
+    const isStillJustified = wasQuarantined && stored.crashes.size >= needed;
+    const isQuarantined = isImposed || isStillJustified || this.unexplainedCrashesOf(stored) >= needed;
     if (isQuarantined === wasQuarantined) {
       return;
     }
-    known.quarantinedAt = isQuarantined ? Math.max(known.imposedAt, ...known.crashes.values()) : undefined;
-    this.notifyChange(known, isQuarantined ? 'quarantined' : 'answered');
+    stored.quarantinedAt = isQuarantined ? Math.max(stored.imposedAt, ...stored.crashes.values()) : undefined;
+    this.notifyChange(stored, isQuarantined ? 'quarantined' : 'answered');
   }
 
-  private notifyChange(known: StoredRecord, change: VerdictChange['change']): void {
-    this.onChange({ content: known.content, change, instances: [...known.crashes.keys()] });
+  private notifyChange(stored: StoredRecord, change: VerdictChange['change']): void {
+    this.onChange({ content: stored.content, change, instances: [...stored.crashes.keys()] });
   }
 
   /** Number of crashes that no other quarantined content explains. */
-  private unexplainedCrashesOf(known: StoredRecord): number {
-    return [...known.crashes.keys()].filter((instance) => !this.isExplained(instance, known)).length;
+  private unexplainedCrashesOf(stored: StoredRecord): number {
+    return [...stored.crashes.keys()].filter((instance) => !this.isExplained(instance, stored)).length;
   }
 
   /** Returns true if another quarantined content ran on the instance when it crashed. */
@@ -220,26 +220,26 @@
     return false;
   }
 
-  private quarantineEndsAt(known: StoredRecord): ports.Milliseconds {
-    const since = Math.max(known.quarantinedAt ?? 0, ...known.crashes.values());
-    return since + FIRST_QUARANTINE_DURATION * QUARANTINE_GROWTH_FACTOR ** known.lapses;
+  private quarantineEndsAt(stored: StoredRecord): ports.Milliseconds {
+    const since = Math.max(stored.quarantinedAt ?? 0, ...stored.crashes.values());
+    return since + FIRST_QUARANTINE_DURATION * QUARANTINE_GROWTH_FACTOR ** stored.lapses;
   }
 
   /** Ends quarantines that have expired and deletes records past their retention. */
   expire(now: number): void {
-    for (const known of this.records.values()) {
-      if (known.quarantinedAt === undefined) {
-        const retention = known.lapses > 0 ? EXPIRED_QUARANTINE_RETENTION : CRASH_RETENTION;
-        if (now - known.changedAt >= retention) {
-          this.records.delete(known.content);
+    for (const stored of this.records.values()) {
+      if (stored.quarantinedAt === undefined) {
+        const retention = stored.lapses > 0 ? EXPIRED_QUARANTINE_RETENTION : CRASH_RETENTION;
+        if (now - stored.changedAt >= retention) {
+          this.records.delete(stored.content);
         }
-      } else if (now >= this.quarantineEndsAt(known)) {
-        known.quarantinedAt = undefined;
-        known.lapses += 1;
-        known.voidedAt = now;
-        known.changedAt = now;
-        this.notifyChange(known, 'lapsed');
-        known.crashes.clear();
+      } else if (now >= this.quarantineEndsAt(stored)) {
+        stored.quarantinedAt = undefined;
+        stored.lapses += 1;
+        stored.voidedAt = now;
+        stored.changedAt = now;
+        this.notifyChange(stored, 'lapsed');
+        stored.crashes.clear();
       }
     }
   }
@@ -256,8 +256,8 @@
     }
   }
 
-  private toCrashRecord(known: StoredRecord, now: number): types.CaseRecord {
-    const { content, crashes, voidedAt, imposedAt, lapses } = known;
+  private toCrashRecord(stored: StoredRecord, now: number): types.CaseRecord {
+    const { content, crashes, voidedAt, imposedAt, lapses } = stored;
     return {
       content,
       crashes: [...crashes].map(([instance, at]) => ({ instance, age: Math.round(now - at) })),
@@ -269,13 +269,16 @@
 
   /** The crash record of a content, for publishing; undefined if there is none. */
   recordOf(content: string, now: number): types.CaseRecord | undefined {
-    const known = this.records.get(content);
-    return known === undefined ? undefined : this.toCrashRecord(known, now);
+    const stored = this.records.get(content);
+    return stored === undefined ? undefined : this.toCrashRecord(stored, now);
   }
 
   /** Crash records that changed after a revision. */
   updatesSince(revision: number, now: number): types.CaseNews {
-    const changed = [...this.records.values()].filter((known) => known.revision > revision);
-    return { revision: this.currentRevision, cases: changed.map((known) => this.toCrashRecord(known, now)) };
+    const changed = [...this.records.values()].filter((stored) => stored.revision > revision);
+    return {
+      revision: this.currentRevision,
+      cases: changed.map((stored) => this.toCrashRecord(stored, now)),
+    };
   }
 }
--- a/packages/scenarios/src/scripts/quarantineSafeguards.ts
+++ b/packages/scenarios/src/scripts/quarantineSafeguards.ts
@@ -70,21 +70,21 @@
   {
     name: 'an answer voids what was held',
     file: 'quarantine/crashRecordStore.js',
-    find: 'if (at <= known.voidedAt) {',
+    find: 'if (at <= stored.voidedAt) {',
     replace: 'if (false) {',
     scenario: LEDGER,
   },
   {
     name: 'an end is explained by one content',
     file: 'quarantine/crashRecordStore.js',
-    find: '!this.isExplained(instance, known)',
+    find: '!this.isExplained(instance, stored)',
     replace: 'true',
     scenario: LEDGER,
   },
   {
     name: 'a quarantine rests on ends that stand',
     file: 'quarantine/crashRecordStore.js',
-    find: 'const isStillJustified = wasQuarantined && known.crashes.size >= needed;',
+    find: 'const isStillJustified = wasQuarantined && stored.crashes.size >= needed;',
     replace: 'const isStillJustified = wasQuarantined;',
     scenario: LEDGER,
   },
@@ -105,8 +105,8 @@
   {
     name: 'the end of an instance that gave notice counts against nobody',
     file: 'quarantine/crashDetector.js',
-    find: 'known === undefined || this.options.hasGivenNotice(identity)',
-    replace: 'known === undefined',
+    find: 'run === undefined || this.options.hasGivenNotice(identity)',
+    replace: 'run === undefined',
     scenario: DETECTOR,
   },
   {
