--- /dev/null
+++ b/packages/kumquatfront/src/quarantine/crashRecordStore.ts
@@ -0,0 +1,284 @@
+/**
+ * Bounded in-memory store of crash records by content, and the verdict that follows from each.
+ *
+ * Guards against a request that crashes every upstream that runs it: resumed and retried without a shared record, it
+ * takes down all upstreams within seconds. A crash is recorded for every content that ran on the instance; crashes of
+ * three instances quarantine a content. Contents that merely ran beside it are rarely affected: an answer voids earlier
+ * crashes, and a crash explained by one quarantined content is not counted for others.
+ *
+ * Processes exchange full records and merge them; the verdict does not depend on order or repetition. All records
+ * expire.
+ */
+import type * as ports from '../kernel/ports.js';
+import type * as types from './types.js';
+
+/** Instances that must crash before a content is quarantined. Unrelated failures may easily coincide twice. */
+export const CRASHES_TO_QUARANTINE = 3;
+
+/** After a quarantine has expired, a single crash quarantines the content again. */
+const CRASHES_TO_REQUARANTINE = 1;
+
+/** How long crashes are kept after the last change of a record; covers callers that retry with a backoff. */
+const CRASH_RETENTION: ports.Milliseconds = 600_000;
+
+/** Duration of the first quarantine of a content. */
+export const FIRST_QUARANTINE_DURATION: ports.Milliseconds = 3_600_000;
+
+/** Factor by which each further quarantine lasts longer than the one before. */
+const QUARANTINE_GROWTH_FACTOR = 6;
+
+/** How long a record with an expired quarantine is kept after its last change. */
+const EXPIRED_QUARANTINE_RETENTION: ports.Milliseconds = 48 * 3_600_000;
+
+/** Maximum number of records; beyond it, records that are not quarantined are evicted first. */
+const MAX_RECORDS = 2_000;
+
+/** Maximum number of crashes kept for one content. */
+const MAX_CRASHES_PER_RECORD = 8;
+
+interface StoredRecord {
+  readonly content: string;
+  /** Crash times by instance. */
+  readonly crashes: Map<string, ports.Milliseconds>;
+  /** Crashes up to this time are void. */
+  voidedAt: ports.Milliseconds;
+  quarantinedAt: ports.Milliseconds | undefined;
+  /** Time at which a quarantine from the replicated log was applied; negative infinity if never. */
+  imposedAt: ports.Milliseconds;
+  /** Number of expired quarantines. */
+  lapses: number;
+  revision: number;
+  changedAt: ports.Milliseconds;
+}
+
+/** Start or end of the quarantine of a content. */
+export interface VerdictChange {
+  readonly content: string;
+  readonly change: 'quarantined' | 'answered' | 'lapsed';
+  /** Instances recorded here as crashed while they ran the content. */
+  readonly instances: readonly string[];
+}
+
+/** Stores crash records and derives verdicts; see the module comment. */
+export class CrashRecordStore {
+  private readonly records = new Map<string, StoredRecord>();
+  private currentRevision = 0;
+  private readonly onChange: (change: VerdictChange) => void;
+
+  /**
+   * @param onChange - called when a content is quarantined or released
+   */
+  constructor(onChange: (change: VerdictChange) => void = () => undefined) {
+    this.onChange = onChange;
+  }
+
+  /** Increases with every change of any record. */
+  get revision(): number {
+    return this.currentRevision;
+  }
+
+  /** Contents that are currently quarantined. */
+  get quarantined(): readonly string[] {
+    return [...this.records.values()]
+      .filter((stored) => stored.quarantinedAt !== undefined)
+      .map(({ content }) => content);
+  }
+
+  /** Verdict on a content; `free` if it has no record. */
+  verdictOf(content: string): types.Verdict {
+    const stored = this.records.get(content);
+    if (stored === undefined) {
+      return 'free';
+    }
+    if (stored.quarantinedAt !== undefined) {
+      return 'quarantined';
+    }
+    return this.unexplainedCrashesOf(stored) > 0 ? 'suspected' : 'free';
+  }
+
+  /** Time until the quarantine of a content expires; 0 if it is not quarantined. */
+  timeLeft(content: string, now: number): ports.Milliseconds {
+    const stored = this.records.get(content);
+    return stored?.quarantinedAt === undefined ? 0 : Math.max(0, this.quarantineEndsAt(stored) - now);
+  }
+
+  /** Instances that crashed while they ran a content. */
+  instancesOf(content: string): readonly string[] {
+    return [...(this.records.get(content)?.crashes.keys() ?? [])];
+  }
+
+  /** Records that an instance crashed while it ran a content; returns true if the record changed. */
+  recordCrash(content: string, instance: string, now: number): boolean {
+    return this.merge({ content, crashes: [{ instance, age: 0 }], lapses: 0 }, now);
+  }
+
+  /**
+   * Records a complete answer, which voids all earlier crashes: the content does not crash every upstream that runs it.
+   *
+   * @returns true if there were any crashes to void
+   */
+  recordAnswer(content: string, now: number): boolean {
+    const stored = this.records.get(content);
+    if (stored === undefined || stored.crashes.size === 0) {
+      return false;
+    }
+    return this.merge({ content, crashes: [], voidedAge: 0, lapses: stored.lapses }, now);
+  }
+
+  /** Quarantines a content from the replicated log, without known crashes; returns true if the record changed. */
+  applyAgreedQuarantine(content: string, now: number): boolean {
+    return this.merge({ content, crashes: [], imposedAge: 0, lapses: 0 }, now);
+  }
+
+  /** Merges a crash record from another process; returns true if the stored record changed. */
+  merge(record: types.CaseRecord, now: number): boolean {
+    const stored = this.records.get(record.content) ?? this.create(record.content, now);
+    const before = JSON.stringify(this.comparableStateOf(stored));
+    stored.voidedAt = Math.max(stored.voidedAt, now - (record.voidedAge ?? Number.POSITIVE_INFINITY));
+    stored.imposedAt = Math.max(stored.imposedAt, now - (record.imposedAge ?? Number.POSITIVE_INFINITY));
+    stored.lapses = Math.max(stored.lapses, record.lapses);
+    for (const { instance, age } of record.crashes) {
+      if (!stored.crashes.has(instance) && stored.crashes.size < MAX_CRASHES_PER_RECORD) {
+        stored.crashes.set(instance, now - age);
+      }
+    }
+    this.discardVoidedCrashes(stored);
+    this.updateVerdict(stored);
+    if (JSON.stringify(this.comparableStateOf(stored)) === before) {
+      return false;
+    }
+    stored.changedAt = now;
+    this.currentRevision += 1;
+    stored.revision = this.currentRevision;
+    this.evictExcessRecord();
+    return true;
+  }
+
+  private create(content: string, now: number): StoredRecord {
+    const created: StoredRecord = {
+      content,
+      crashes: new Map(),
+      voidedAt: Number.NEGATIVE_INFINITY,
+      quarantinedAt: undefined,
+      imposedAt: Number.NEGATIVE_INFINITY,
+      lapses: 0,
+      revision: 0,
+      changedAt: now,
+    };
+    this.records.set(content, created);
+    return created;
+  }
+
+  /** State whose change counts as a change of the record; excludes times, which shift slightly with each transfer. */
+  private comparableStateOf(stored: StoredRecord): unknown {
+    const { crashes, quarantinedAt, lapses } = stored;
+    return [[...crashes.keys()].sort(), quarantinedAt !== undefined, lapses];
+  }
+
+  private discardVoidedCrashes(stored: StoredRecord): void {
+    for (const [instance, at] of stored.crashes) {
+      if (at <= stored.voidedAt) {
+        stored.crashes.delete(instance);
+      }
+    }
+  }
+
+  /**
+   * Quarantines a content, or releases it if its crashes were voided. Crashes explained by another quarantined content
+   * do not count towards a new quarantine, but keep an existing one: otherwise two contents with the same crashes would
+   * release each other.
+   */
+  private updateVerdict(stored: StoredRecord): void {
+    const wasQuarantined = stored.quarantinedAt !== undefined;
+    const needed = stored.lapses > 0 ? CRASHES_TO_REQUARANTINE : CRASHES_TO_QUARANTINE;
+    const isImposed = stored.imposedAt > stored.voidedAt;
+    const isStillJustified = wasQuarantined && stored.crashes.size >= needed;
+    const isQuarantined = isImposed || isStillJustified || this.unexplainedCrashesOf(stored) >= needed;
+    if (isQuarantined === wasQuarantined) {
+      return;
+    }
+    stored.quarantinedAt = isQuarantined ? Math.max(stored.imposedAt, ...stored.crashes.values()) : undefined;
+    this.notifyChange(stored, isQuarantined ? 'quarantined' : 'answered');
+  }
+
+  private notifyChange(stored: StoredRecord, change: VerdictChange['change']): void {
+    this.onChange({ content: stored.content, change, instances: [...stored.crashes.keys()] });
+  }
+
+  /** Number of crashes that no other quarantined content explains. */
+  private unexplainedCrashesOf(stored: StoredRecord): number {
+    return [...stored.crashes.keys()].filter((instance) => !this.isExplained(instance, stored)).length;
+  }
+
+  /** Returns true if another quarantined content ran on the instance when it crashed. */
+  private isExplained(instance: string, except: StoredRecord): boolean {
+    for (const other of this.records.values()) {
+      if (other !== except && other.quarantinedAt !== undefined && other.crashes.has(instance)) {
+        return true;
+      }
+    }
+    return false;
+  }
+
+  private quarantineEndsAt(stored: StoredRecord): ports.Milliseconds {
+    const since = Math.max(stored.quarantinedAt ?? 0, ...stored.crashes.values());
+    return since + FIRST_QUARANTINE_DURATION * QUARANTINE_GROWTH_FACTOR ** stored.lapses;
+  }
+
+  /** Ends quarantines that have expired and deletes records past their retention. */
+  expire(now: number): void {
+    for (const stored of this.records.values()) {
+      if (stored.quarantinedAt === undefined) {
+        const retention = stored.lapses > 0 ? EXPIRED_QUARANTINE_RETENTION : CRASH_RETENTION;
+        if (now - stored.changedAt >= retention) {
+          this.records.delete(stored.content);
+        }
+      } else if (now >= this.quarantineEndsAt(stored)) {
+        stored.quarantinedAt = undefined;
+        stored.lapses += 1;
+        stored.voidedAt = now;
+        stored.changedAt = now;
+        this.notifyChange(stored, 'lapsed');
+        stored.crashes.clear();
+      }
+    }
+  }
+
+  /** Evicts the least recently changed record beyond `MAX_RECORDS`, if possible one that is not quarantined. */
+  private evictExcessRecord(): void {
+    if (this.records.size <= MAX_RECORDS) {
+      return;
+    }
+    const byAge = [...this.records.values()].sort((left, right) => left.changedAt - right.changedAt);
+    const oldest = byAge.find(({ quarantinedAt }) => quarantinedAt === undefined) ?? byAge[0];
+    if (oldest !== undefined) {
+      this.records.delete(oldest.content);
+    }
+  }
+
+  private toCrashRecord(stored: StoredRecord, now: number): types.CaseRecord {
+    const { content, crashes, voidedAt, imposedAt, lapses } = stored;
+    return {
+      content,
+      crashes: [...crashes].map(([instance, at]) => ({ instance, age: Math.round(now - at) })),
+      ...(Number.isFinite(voidedAt) && { voidedAge: Math.round(now - voidedAt) }),
+      ...(imposedAt > voidedAt && { imposedAge: Math.round(now - imposedAt) }),
+      lapses,
+    };
+  }
+
+  /** The crash record of a content, for publishing; undefined if there is none. */
+  recordOf(content: string, now: number): types.CaseRecord | undefined {
+    const stored = this.records.get(content);
+    return stored === undefined ? undefined : this.toCrashRecord(stored, now);
+  }
+
+  /** Crash records that changed after a revision. */
+  updatesSince(revision: number, now: number): types.CaseNews {
+    const changed = [...this.records.values()].filter((stored) => stored.revision > revision);
+    return {
+      revision: this.currentRevision,
+      cases: changed.map((stored) => this.toCrashRecord(stored, now)),
+    };
+  }
+}
--- a/packages/scenarios/src/scripts/quarantineSafeguards.ts
+++ b/packages/scenarios/src/scripts/quarantineSafeguards.ts
@@ -5,7 +5,7 @@
 
 const SYSTEM = 'spec:quarantine/quarantine';
 const REPEATED = 'spec:quarantine/repeatedCrashes';
-const LEDGER = 'spec:quarantine/crashLedger';
+const LEDGER = 'spec:quarantine/crashRecordStore';
 const DETECTOR = 'spec:quarantine/crashDetector';
 const DIGEST = 'spec:quarantine/contentDigest';
 
@@ -13,7 +13,7 @@
 export const quarantineSafeguards: readonly types.Safeguard[] = [
   {
     name: 'nothing quarantined passes the gate of an entry',
-    file: 'quarantine/crashLedger.js',
+    file: 'quarantine/crashRecordStore.js',
     find: "return 'quarantined';",
     replace: "return 'suspected';",
     scenario: REPEATED,
@@ -35,14 +35,14 @@
   {
     name: 'a suspected content is sent on only once its upstream was checked',
     file: 'quarantine/guardedUpstreams.js',
-    find: "held.verdictOf(this.content) === 'free'",
+    find: "quarantineState.verdictOf(this.content) === 'free'",
     replace: 'true',
     scenario: SYSTEM,
   },
   {
     name: 'control replicas are told',
     file: 'quarantine/quarantine.js',
-    find: "metrics.count('quarantine.crashes', 1, { sign });\n        tell(content);",
+    find: "metrics.count('quarantine.crashes', 1, { sign });\n        report(content);",
     replace: "metrics.count('quarantine.crashes', 1, { sign });",
     scenario: REPEATED,
   },
@@ -63,56 +63,56 @@
   {
     name: 'replicas agree on a quarantine',
     file: 'quarantine/caseBook.js',
-    find: "this.proposeOnce({ type: 'quarantine', content });",
+    find: "this.proposeThrottled({ type: 'quarantine', content });",
     replace: '',
     scenario: SYSTEM,
   },
   {
     name: 'an answer voids what was held',
-    file: 'quarantine/crashLedger.js',
-    find: 'if (at <= known.voidedAt) {',
+    file: 'quarantine/crashRecordStore.js',
+    find: 'if (at <= stored.voidedAt) {',
     replace: 'if (false) {',
     scenario: LEDGER,
   },
   {
     name: 'an end is explained by one content',
-    file: 'quarantine/crashLedger.js',
-    find: '!this.isExplained(instance, known)',
+    file: 'quarantine/crashRecordStore.js',
+    find: '!this.isExplained(instance, stored)',
     replace: 'true',
     scenario: LEDGER,
   },
   {
     name: 'a quarantine rests on ends that stand',
-    file: 'quarantine/crashLedger.js',
-    find: 'const stands = wasQuarantined && known.crashes.size >= needed;',
-    replace: 'const stands = wasQuarantined;',
+    file: 'quarantine/crashRecordStore.js',
+    find: 'const isStillJustified = wasQuarantined && stored.crashes.size >= needed;',
+    replace: 'const isStillJustified = wasQuarantined;',
     scenario: LEDGER,
   },
   {
     name: 'cases are bounded',
-    file: 'quarantine/crashLedger.js',
-    find: 'if (this.cases.size <= MOST_CASES) {',
+    file: 'quarantine/crashRecordStore.js',
+    find: 'if (this.records.size <= MAX_RECORDS) {',
     replace: 'if (true) {',
     scenario: LEDGER,
   },
   {
     name: 'an instance that accepts connections has not ended',
     file: 'quarantine/crashDetector.js',
-    find: 'this.dropBroken(identity);',
+    find: 'this.discardBrokenRuns(identity);',
     replace: '',
     scenario: DETECTOR,
   },
   {
     name: 'the end of an instance that gave notice counts against nobody',
     file: 'quarantine/crashDetector.js',
-    find: 'known === undefined || this.options.hasGivenNotice(identity)',
-    replace: 'known === undefined',
+    find: 'run === undefined || this.options.hasGivenNotice(identity)',
+    replace: 'run === undefined',
     scenario: DETECTOR,
   },
   {
     name: 'nobody waits long for a check',
     file: 'quarantine/crashDetector.js',
-    find: 'const cancel = timers.after(WAITED_FOR, call);',
+    find: 'const cancel = timers.after(MAX_CHECK_WAIT, call);',
     replace: 'const cancel = () => undefined;',
     scenario: DETECTOR,
   },
