--- a/packages/kumquatfront/src/relay/exchangeContext.ts
+++ b/packages/kumquatfront/src/relay/exchangeContext.ts
@@ -1,5 +1,5 @@
 /**
- * What every exchange of one entry shares.
+ * Dependencies and helper functions that all exchanges of an entry share.
  */
 import type * as sendRules from '../backPressure/sendRules.js';
 import type * as instanceView from '../instances/instanceView.js';
@@ -14,65 +14,65 @@
 import type * as retryAllowance from './retryAllowance.js';
 import type * as types from './types.js';
 
-/** Parts that exchanges use. */
+/** Services that exchanges depend on. */
 export interface ExchangeContext {
   readonly timers: timerService.TimerService;
   readonly log: ports.Log;
   readonly metrics: ports.Metrics;
   readonly upstreams: types.UpstreamPort;
   readonly instances: instanceView.InstanceView;
-  /** Say which upstreams may be sent something at this moment. */
+  /** Decide which upstreams are temporarily excluded. */
   readonly rules: sendRules.SendRules;
   readonly choice: localChoice.LocalChoice;
   readonly allowance: retryAllowance.RetryAllowance;
   readonly placement: placementClient.PlacementClient;
-  /** Its gate stands before `upstreams`. */
+  /** Consulted by `upstreams` before each send. */
   readonly quarantine: quarantine.Quarantine;
 }
 
-/** One request with all that its route says of it. */
+/** A request together with its route, service and client account. */
 export interface RoutedRequest {
   readonly request: types.TrafficRequest;
   readonly caller: types.CallerPort;
   readonly route: trafficTypes.Route;
   readonly service: trafficTypes.Service;
-  /** Name of the client account; undefined where none is needed. */
+  /** Name of the client account; undefined if none is required. */
   readonly account?: string;
-  /** Priority of the client account; undefined where it has none. */
+  /** Priority of the client account; undefined if it has none. */
   readonly accountPriority?: number;
-  /** Priority towards upstreams: that of the account, else that of the route. */
-  readonly rank: number;
-  /** Data centres in which it may run; undefined where any will do. */
+  /** Priority sent to upstreams: that of the client account, or else that of the route. */
+  readonly upstreamPriority: number;
+  /** Data centres in which the request may run; undefined if it may run in any. */
   readonly dataCentres?: readonly string[];
-  /** Moment at which the caller must have its final answer. */
-  readonly answerBy: ports.Milliseconds;
-  /** Version of the configuration that decided. */
+  /** Time by which the response must be complete. */
+  readonly deadline: ports.Milliseconds;
+  /** Version of the configuration that selected the route. */
   readonly version: number;
 }
 
-/** Time to come back where no upstream of a service is known: about one announcement. */
-export const NO_UPSTREAM_RETRY: ports.Milliseconds = 500;
+/** Retry delay if a service has no ready upstream; about one announcement interval. */
+export const NO_UPSTREAM_RETRY_DELAY: ports.Milliseconds = 500;
 
 /**
- * Digest of what a request asks for: the same for every attempt at it, so that on-call can follow one over entries.
+ * Digest of a request's content. It is the same for every attempt, so that logs of several entries can be correlated.
  *
  * @param routed - the request
  * @returns the digest
  * @example
  * ```ts
- * log.info('attemptFailed', { request: routed.request.identity, content: exchangeContext.contentOf(routed) });
+ * log.info('attemptFailed', { request: routed.request.identity, content: exchangeContext.contentDigestOf(routed) });
  * ```
  */
-export function contentOf(routed: RoutedRequest): string {
+export function contentDigestOf(routed: RoutedRequest): string {
   return contentDigest.of(routed.request, routed.account ?? '');
 }
 
 /**
- * Instances that may be sent a request.
+ * Instances that are eligible for a request.
  *
- * @param context - the entry's parts
+ * @param context - the shared services
  * @param routed - the request
- * @returns ready instances of its service in data centres in which it may run
+ * @returns the ready instances of its service in the permitted data centres
  * @example
  * ```ts
  * const instance = context.choice.choose(exchangeContext.candidatesOf(context, routed), tried, now);
@@ -89,63 +89,68 @@
 }
 
 /**
- * What a caller is told where no instance is left that may be sent its request.
+ * Builds the refusal of a request for which no eligible instance is left.
  *
- * @param context - the entry's parts
+ * @param context - the shared services
  * @param routed - the request
- * @param otherwise - a phrase for the caller where the instances could be sent something
- * @returns why, and when to come back
+ * @param defaultMessage - the message if candidates exist and not all of them are temporarily excluded
+ * @returns the refusal with its retry delay
  * @example
  * ```ts
- * const refusal = exchangeContext.noneLeft(context, routed, 'no upstream took it');
+ * const refusal = exchangeContext.noUpstreamRefusal(context, routed, 'no upstream accepted the request');
  * ```
  */
-export function noneLeft(
+export function noUpstreamRefusal(
   context: ExchangeContext,
   routed: RoutedRequest,
-  otherwise: string,
+  defaultMessage: string,
 ): types.Refusal & { readonly retryAfter: ports.Milliseconds } {
   const now = context.timers.now();
   const candidates = candidatesOf(context, routed);
-  const hold = context.rules.holdOfAll(candidates, now);
-  if (hold === undefined) {
-    const message = candidates.length === 0 ? whyNone(context, routed) : otherwise;
-    return { reason: 'noUpstream', message, retryAfter: NO_UPSTREAM_RETRY };
+  const exclusion = context.rules.holdOfAll(candidates, now);
+  if (exclusion === undefined) {
+    const message = candidates.length === 0 ? describeNoUpstream(context, routed) : defaultMessage;
+    return { reason: 'noUpstream', message, retryAfter: NO_UPSTREAM_RETRY_DELAY };
   }
   return {
-    reason: hold.until === undefined ? 'noUpstream' : 'overloaded',
-    message: context.rules.messageOf(hold),
-    retryAfter: context.rules.retryAfter(hold, now, NO_UPSTREAM_RETRY),
+    reason: exclusion.until === undefined ? 'noUpstream' : 'overloaded',
+    message: context.rules.messageOf(exclusion),
+    retryAfter: context.rules.retryAfter(exclusion, now, NO_UPSTREAM_RETRY_DELAY),
   };
 }
 
-function whyNone({ instances }: ExchangeContext, { service, dataCentres }: RoutedRequest): string {
+function describeNoUpstream({ instances }: ExchangeContext, { service, dataCentres }: RoutedRequest): string {
   const isElsewhere = dataCentres !== undefined && instances.readyOf(service.name).length > 0;
-  return isElsewhere ? 'no upstream is in a region where it may run' : instances.whyNoneOf(service.name);
+  return isElsewhere
+    ? 'no upstream is ready in a region where the request may run'
+    : instances.whyNoneOf(service.name);
 }
 
 /**
- * What is held against the content of a request.
+ * Quarantine verdict on the content of a request.
  *
- * @param context - the entry's parts
+ * @param context - the shared services
  * @param routed - the request
  * @returns the verdict
  * @example
  * ```ts
- * if (exchangeContext.verdictOf(context, routed) === 'quarantined') refuse();
+ * if (exchangeContext.quarantineVerdictOf(context, routed) === 'quarantined') refuse();
  * ```
  */
-export function verdictOf(context: ExchangeContext, routed: RoutedRequest): quarantineTypes.Verdict {
-  return context.quarantine.verdictOf(contentOf(routed));
+export function quarantineVerdictOf(
+  context: ExchangeContext,
+  routed: RoutedRequest,
+): quarantineTypes.Verdict {
+  return context.quarantine.verdictOf(contentDigestOf(routed));
 }
 
 /**
- * Calls back once the content of a request is quarantined.
+ * Registers a callback for the quarantine of a request's content.
  *
- * @param context - the entry's parts
+ * @param context - the shared services
  * @param routed - the request
- * @param run - called then
- * @returns cancels it
+ * @param callback - called when the content is quarantined
+ * @returns a function that removes the callback
  * @example
  * ```ts
  * const cancel = exchangeContext.whenQuarantined(context, routed, () => refuse());
@@ -154,33 +159,37 @@
 export function whenQuarantined(
   context: ExchangeContext,
   routed: RoutedRequest,
-  run: () => void,
+  callback: () => void,
 ): ports.Cancel {
-  return context.quarantine.whenQuarantined(contentOf(routed), run);
+  return context.quarantine.whenQuarantined(contentDigestOf(routed), callback);
 }
 
 /**
- * Logs how a request ended.
+ * Logs the outcome of a request and records its duration.
  *
- * @param context - the entry's parts
+ * @param context - the shared services
  * @param routed - the request
- * @param outcome - how it ended, with what decided it
+ * @param outcome - log fields that describe the outcome
  * @example
  * ```ts
- * exchangeContext.logEnd(context, routed, { outcome: 'answered', status: 200 });
+ * exchangeContext.logRequestEnd(context, routed, { outcome: 'answered', status: 200 });
  * ```
  */
-export function logEnd(context: ExchangeContext, routed: RoutedRequest, outcome: ports.LogFields): void {
+export function logRequestEnd(
+  context: ExchangeContext,
+  routed: RoutedRequest,
+  outcome: ports.LogFields,
+): void {
   const { request, route, service, version } = routed;
   const milliseconds = Math.round(context.timers.now() - request.arrivedAt);
-  // On-call finds what was held against it by its content.
-  const isHeld = verdictOf(context, routed) !== 'free';
+  // The content digest lets operators find the crash records of this request.
+  const isRecorded = quarantineVerdictOf(context, routed) !== 'free';
   context.log.info('requestEnded', {
     request: request.identity,
     route: route.name,
     service: service.name,
     version,
-    ...(isHeld && { content: contentOf(routed) }),
+    ...(isRecorded && { content: contentDigestOf(routed) }),
     ...outcome,
     milliseconds,
   });
--- a/packages/kumquatfront/src/relay/generationFacts.ts
+++ b/packages/kumquatfront/src/relay/generationFacts.ts
@@ -1,21 +1,21 @@
 /**
- * What the coordinator is told of a request for a generation.
+ * Attributes of a generation request that the coordinator uses for placement.
  */
 import * as ranks from '../placement/ranks.js';
 import type * as placementTypes from '../placement/types.js';
 import * as rendezvous from '../utils/rendezvous.js';
 import type * as exchangeContext from './exchangeContext.js';
 
-const NO_DEMAND = { promptTokens: 0, outputLimit: 0, lengthHint: 0, prompt: '' };
+const EMPTY_DEMAND = { promptTokens: 0, outputLimit: 0, lengthHint: 0, prompt: '' };
 
 /**
- * Facts of a request; undefined where its service has no engines, so that nothing is placed.
+ * Placement attributes of a request.
  *
  * @param routed - the request with its route
- * @returns the facts
+ * @returns the attributes; undefined if the service has no engines, so that no placement is needed
  * @example
  * ```ts
- * const facts = generationFacts.of(routed);
+ * const attributes = generationAttributes.forRequest(routed);
  * ```
  */
 export function of(routed: exchangeContext.RoutedRequest): placementTypes.GenerationFacts | undefined {
@@ -37,19 +37,20 @@
 }
 
 /**
- * What one caller's attempts at the same generation have in common: everything that it says of it. Two callers
- * that say the same are told apart by nothing; one of them then counts as late too early, and waits for slack.
+ * Fingerprint by which the coordinator recognizes repeated attempts of a caller at the same generation.
+ *
+ * Two callers that send identical requests share a fingerprint; the coordinator then treats one as a retry of the other.
  *
  * @param routed - the request with its route
- * @returns a short text
+ * @returns a short hash
  * @example
  * ```ts
- * const likeness = generationFacts.likenessOf(routed);
+ * const likeness = generationAttributes.retryFingerprintOf(routed);
  * ```
  */
-export function likenessOf(routed: exchangeContext.RoutedRequest): string {
+export function retryFingerprintOf(routed: exchangeContext.RoutedRequest): string {
   const { request, route, account = '' } = routed;
-  const { promptTokens, outputLimit, lengthHint, prompt } = request.generation ?? NO_DEMAND;
-  const said = [account, route.name, request.path, prompt, promptTokens, outputLimit, lengthHint];
-  return rendezvous.hash(said.join(' ')).toString(36);
+  const { promptTokens, outputLimit, lengthHint, prompt } = request.generation ?? EMPTY_DEMAND;
+  const parts = [account, route.name, request.path, prompt, promptTokens, outputLimit, lengthHint];
+  return rendezvous.hash(parts.join(' ')).toString(36);
 }
--- a/packages/kumquatfront/src/relay/generationMove.ts
+++ b/packages/kumquatfront/src/relay/generationMove.ts
@@ -1,23 +1,23 @@
 /**
- * One move of a running generation to another engine: a first copy while it runs on, then a final copy for
- * which the source stops. The pause is that of the final copy, which holds only what is new.
+ * Live migration of a running generation to another engine. The memory is copied while the generation runs; the
+ * source then stops and a final copy transfers only the changes, which keeps the interruption short.
  */
 import type * as instanceView from '../instances/instanceView.js';
 import type * as types from './types.js';
 
-/** How the two copies ended for the stream. */
+/** Result of a move. */
 export type MoveResult =
-  /** The source has stopped; the generation goes on from the copy at the target. */
+  /** The source has stopped; the generation can resume from the copy at `at`. */
   | { readonly state: 'stopped'; readonly at: 'target' | 'source'; readonly handle: string }
-  /** The run goes on at the source, or has ended by itself. */
+  /** The generation still runs at the source, or has `ended` there. */
   | { readonly state: 'unmoved'; readonly reason: string; readonly ended: boolean };
 
-/** A move under way. */
+/** One move in progress. */
 export class GenerationMove {
   readonly target: instanceView.Instance;
-  /** Handle of the newest copy; undefined before the first is complete. */
+  /** Handle of the latest copy; undefined until the first copy is complete. */
   handle: string | undefined;
-  /** True while the source has been asked to stop and has not answered. */
+  /** True while the final copy is in progress. */
   stopping = false;
   private readonly source: instanceView.Instance;
   private readonly request: string;
@@ -39,24 +39,24 @@
   run(done: (result: MoveResult) => void): void {
     this.upstreams.copyMemory(this.source, this.target, this.request, false, (first) => {
       if (first.state !== 'copied') {
-        done(unmoved(first));
+        done(unmovedResult(first));
         return;
       }
       this.handle = first.handle;
       if (this.cancelled) {
-        this.dropCopy();
+        this.releaseCopy();
         done({ state: 'unmoved', reason: 'cancelled', ended: true });
         return;
       }
       this.stopping = true;
       this.upstreams.copyMemory(this.source, this.target, this.request, true, (last) => {
         this.stopping = false;
-        this.onStopped(last, done);
+        this.onFinalCopy(last, done);
       });
     });
   }
 
-  private onStopped(last: types.CopyResult, done: (result: MoveResult) => void): void {
+  private onFinalCopy(last: types.CopyResult, done: (result: MoveResult) => void): void {
     if (last.state === 'copied') {
       this.handle = last.handle;
       done({ state: 'stopped', at: 'target', handle: last.handle });
@@ -66,23 +66,23 @@
       done({ state: 'stopped', at: 'source', handle: last.handle });
       return;
     }
-    done(unmoved(last));
+    done(unmovedResult(last));
   }
 
-  /** Frees what was copied: the caller has gone, and nobody will use it. */
+  /** Cancels the move and releases its copy. */
   cancel(): void {
     this.cancelled = true;
-    this.dropCopy();
+    this.releaseCopy();
   }
 
-  private dropCopy(): void {
+  private releaseCopy(): void {
     if (this.handle !== undefined) {
       this.upstreams.dropCopy({ address: this.source.address, handle: this.handle });
     }
   }
 }
 
-function unmoved(result: types.CopyResult): MoveResult {
+function unmovedResult(result: types.CopyResult): MoveResult {
   const reason = result.state === 'failed' ? result.reason : result.state;
   return { state: 'unmoved', reason, ended: result.state === 'noRun' };
 }
--- a/packages/kumquatfront/src/relay/localChoice.ts
+++ b/packages/kumquatfront/src/relay/localChoice.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses an upstream from what this entry alone knows: its own open requests, loads that upstreams told with
- * their answers, and their health as felt here.
+ * Load balancer that uses only local state of the entry: its open requests, the loads that upstreams report with
+ * their responses, and passive health checks.
  */
 import type * as sendRules from '../backPressure/sendRules.js';
 import type * as instanceView from '../instances/instanceView.js';
@@ -8,94 +8,97 @@
 import * as health from '../routing/health.js';
 import type * as types from './types.js';
 
-/** A load that an upstream told counts for this long; later the own count says more. */
-const LOAD_LIFE: ports.Milliseconds = 400;
+/** Reported loads expire after this time; the count of open requests is then more accurate. */
+const REPORTED_LOAD_TTL: ports.Milliseconds = 400;
 
-/** Ejections here are short: an upstream that restarts is back under a new identity anyway. */
+/** Ejections are short because a restarted upstream gets a new identity. */
 const HEALTH_SETTINGS: health.HealthSettings = {
   firstEjection: 1_500,
   longestEjection: 8_000,
   failuresBeforeEjection: 2,
 };
 
-/** At least this share of a service's upstreams stays in use, however many seem sick. */
-const LEAST_USED_SHARE = 0.5;
+/** Share of a service's upstreams that is never ejected, even if more of them are unhealthy. */
+const MINIMUM_ACTIVE_SHARE = 0.5;
 
-/** What staying in the data centre is worth, in open requests: less than one, so it breaks ties only. */
-const NEAR_BONUS = 0.3;
+/** Preference for the local data centre, in open requests; below one, so that it only breaks ties. */
+const SAME_DATA_CENTRE_BONUS = 0.3;
 
-interface ToldLoad {
+interface ReportedLoad {
   readonly total: number;
   readonly at: ports.Milliseconds;
 }
 
-/** What the choice is made from. */
-export interface LocalChoiceOptions {
+/** Dependencies of the load balancer. */
+export interface LocalBalancerOptions {
   readonly random: ports.Random;
   readonly dataCentre: string;
   readonly rules: sendRules.SendRules;
 }
 
-/** The choice; see the module comment. */
+/** Local load balancer; see the module comment. */
 export class LocalChoice {
-  private readonly open = new Map<string, number>();
-  private readonly told = new Map<string, ToldLoad>();
+  private readonly openRequests = new Map<string, number>();
+  private readonly reportedLoads = new Map<string, ReportedLoad>();
   private readonly health = new health.Health(HEALTH_SETTINGS);
-  private readonly options: LocalChoiceOptions;
+  private readonly options: LocalBalancerOptions;
 
-  constructor(options: LocalChoiceOptions) {
+  constructor(options: LocalBalancerOptions) {
     this.options = options;
   }
 
-  dispatched({ identity }: instanceView.Instance, now: number): void {
-    this.open.set(identity, (this.open.get(identity) ?? 0) + 1);
+  recordDispatch({ identity }: instanceView.Instance, now: number): void {
+    this.openRequests.set(identity, (this.openRequests.get(identity) ?? 0) + 1);
     this.health.dispatched(identity, now);
   }
 
-  ended(identity: string): void {
-    const left = (this.open.get(identity) ?? 1) - 1;
-    if (left <= 0) {
-      this.open.delete(identity);
+  recordCompletion(identity: string): void {
+    const remaining = (this.openRequests.get(identity) ?? 1) - 1;
+    if (remaining <= 0) {
+      this.openRequests.delete(identity);
     } else {
-      this.open.set(identity, left);
+      this.openRequests.set(identity, remaining);
     }
   }
 
-  loadTold(identity: string, load: NonNullable<types.UpstreamHead['load']>, now: number): void {
-    this.told.set(identity, { total: load.running + load.waiting, at: now });
+  recordReportedLoad(identity: string, load: NonNullable<types.UpstreamHead['load']>, now: number): void {
+    this.reportedLoads.set(identity, { total: load.running + load.waiting, at: now });
   }
 
-  succeeded(identity: string): void {
+  recordSuccess(identity: string): void {
     this.health.succeeded(identity);
   }
 
-  failed(identity: string, event: health.HealthEvent, now: number): void {
+  recordFailure(identity: string, event: health.HealthEvent, now: number): void {
     this.health.failed(identity, event, now);
   }
 
   forget(identity: string): void {
-    this.open.delete(identity);
-    this.told.delete(identity);
+    this.openRequests.delete(identity);
+    this.reportedLoads.delete(identity);
     this.health.forget(identity);
   }
 
-  /** Identities that are ejected, never more than a share of all. */
+  /** Identities of ejected upstreams, limited to a share of the candidates. */
   ejectedOf(candidates: readonly instanceView.Instance[], now: number): readonly string[] {
     const ejected = candidates
       .filter((instance) => this.health.isEjected(instance.identity, now))
       .map((instance) => instance.identity);
-    return ejected.slice(0, Math.floor(candidates.length * LEAST_USED_SHARE));
+    return ejected.slice(0, Math.floor(candidates.length * MINIMUM_ACTIVE_SHARE));
   }
 
-  private loadOf(instance: instanceView.Instance, now: number): number {
-    const own = this.open.get(instance.identity) ?? 0;
-    const told = this.told.get(instance.identity);
-    const known = told !== undefined && now - told.at < LOAD_LIFE ? Math.max(own, told.total) : own;
+  private effectiveLoadOf(instance: instanceView.Instance, now: number): number {
+    const openCount = this.openRequests.get(instance.identity) ?? 0;
+    const reported = this.reportedLoads.get(instance.identity);
+    const load =
+      reported !== undefined && now - reported.at < REPORTED_LOAD_TTL
+        ? Math.max(openCount, reported.total)
+        : openCount;
     const { random, dataCentre } = this.options;
-    return known - (instance.dataCentre === dataCentre ? NEAR_BONUS : 0) + random.next() * 0.1;
+    return load - (instance.dataCentre === dataCentre ? SAME_DATA_CENTRE_BONUS : 0) + random.next() * 0.1;
   }
 
-  /** The least loaded of the healthy ones that may be sent something and were not tried; sick ones as a last resort. */
+  /** Selects the least loaded healthy candidate that was not tried and is not excluded; falls back to ejected ones. */
   choose(
     candidates: readonly instanceView.Instance[],
     tried: ReadonlySet<string>,
@@ -110,7 +113,7 @@
     let best: instanceView.Instance | undefined;
     let bestLoad = Number.POSITIVE_INFINITY;
     for (const instance of healthy.length > 0 ? healthy : untried) {
-      const load = this.loadOf(instance, now);
+      const load = this.effectiveLoadOf(instance, now);
       if (load < bestLoad) {
         best = instance;
         bestLoad = load;
--- a/packages/kumquatfront/src/relay/placementClient.ts
+++ b/packages/kumquatfront/src/relay/placementClient.ts
@@ -1,6 +1,6 @@
 /**
- * An entry's side of placement: it asks the coordinator for places, reports what runs, and carries out moves.
- * Where no coordinator answers, the caller of this part chooses by itself.
+ * Client of the placement coordinator: requests placements, reports running generations, and executes moves.
+ * If no coordinator responds, the caller of `place` selects an upstream locally.
  */
 import type * as instanceView from '../instances/instanceView.js';
 import type * as ports from '../kernel/ports.js';
@@ -9,36 +9,36 @@
 import type * as placementTypes from '../placement/types.js';
 import * as methods from '../trafficControl/methods.js';
 
-/** Reports go out this often; the coordinator's forecasts are as old as this at most. */
+/** Interval between reports to the coordinator. */
 const REPORT_INTERVAL: ports.Milliseconds = 250;
 
-/** Where nothing runs a report goes out this often, so that the coordinator stays one that knows all entries. */
+/** Interval between empty reports, which keep the coordinator's view of all entries complete. */
 const EMPTY_REPORT_INTERVAL: ports.Milliseconds = 1_000;
 
-/** A change is reported after this pause, which gathers changes of the same moment. */
-const REPORT_PAUSE: ports.Milliseconds = 15;
+/** Delay before a change is reported, to batch changes. */
+const REPORT_DELAY: ports.Milliseconds = 15;
 
-/** Pause before a question that failed is asked again. */
-const ASK_AGAIN: ports.Milliseconds = 80;
+/** Delay before a failed placement request is sent again. */
+const REQUEST_RETRY_DELAY: ports.Milliseconds = 80;
 
 /**
- * Without an answer of any coordinator for this long an entry places by itself: an election takes as long,
- * and a caller's objective is still in reach.
+ * Time without a response from any coordinator after which the entry selects upstreams itself. It covers an election
+ * and leaves time to meet the caller's objective.
  */
-const COORDINATOR_GRACE: ports.Milliseconds = 900;
+const COORDINATOR_TIMEOUT: ports.Milliseconds = 900;
 
-/** A generation that this entry serves. */
+/** A generation that this entry relays. */
 export interface OpenGeneration {
-  /** What runs; undefined while it has no upstream. */
+  /** Current state for reports; undefined while no upstream is assigned. */
   readonly describe: () => placementTypes.RunningGeneration | undefined;
-  /** True where its engine has given notice. */
-  readonly isLeaving: () => boolean;
+  /** True if its upstream has sent a termination notice. */
+  readonly isUpstreamDraining: () => boolean;
   readonly move: (target: string, done: (outcome: placementTypes.MoveOutcome) => void) => void;
-  /** An instance has started anew; what it ran before is lost. */
+  /** Handles the restart of an instance, which loses its earlier runs. */
   readonly onRestart: (instance: string) => void;
 }
 
-/** What the client is made from. */
+/** Dependencies of the client. */
 export interface PlacementClientOptions {
   readonly entry: string;
   readonly dataCentre: string;
@@ -47,28 +47,28 @@
   readonly timers: timerService.TimerService;
   readonly random: ports.Random;
   readonly log: ports.Log;
-  /** Peer address of the coordinator; empty where none is known. */
+  /** Peer address of the coordinator; empty if unknown. */
   readonly coordinator: () => string;
   readonly instances: instanceView.InstanceView;
 }
 
-/** A question for a place, before the entry adds who it is. */
-export type PlaceQuestion = Omit<placementTypes.PlacementRequest, 'entry' | 'dataCentre'>;
+/** A placement request without the fields that identify the entry. */
+export type PlacementParameters = Omit<placementTypes.PlacementRequest, 'entry' | 'dataCentre'>;
 
-/** Answer to a question for a place; `alone` where no coordinator answers. */
-export type PlaceOutcome = placementTypes.PlacementAnswer | { readonly state: 'alone' };
+/** Result of a placement request; `alone` if no coordinator responded. */
+export type PlacementOutcome = placementTypes.PlacementAnswer | { readonly state: 'alone' };
 
-/** The client; see the module comment. */
+/** Placement client of one entry; see the module comment. */
 export class PlacementClient {
   private readonly options: PlacementClientOptions;
-  private readonly open = new Map<string, OpenGeneration>();
+  private readonly openGenerations = new Map<string, OpenGeneration>();
   private readonly epoch: string;
   private sequence = 0;
   private finished: placementTypes.FinishedGeneration[] = [];
   private reportScheduled = false;
-  private reportedEmptyAt = Number.NEGATIVE_INFINITY;
-  /** Questions that must be asked again when another coordinator takes over. */
-  private readonly askers = new Map<string, () => void>();
+  private emptyReportSentAt = Number.NEGATIVE_INFINITY;
+  /** Senders of pending placement requests, by request; each is sent again to a new coordinator. */
+  private readonly pendingRequests = new Map<string, () => void>();
 
   constructor(options: PlacementClientOptions) {
     this.options = options;
@@ -86,7 +86,7 @@
   }
 
   private onMove(command: placementTypes.MoveCommand, reply: ports.Reply): void {
-    const generation = this.open.get(command.identity);
+    const generation = this.openGenerations.get(command.identity);
     if (generation?.describe()?.instance !== command.source) {
       reply(results.Ok('ended' satisfies placementTypes.MoveOutcome));
       return;
@@ -97,77 +97,77 @@
     });
   }
 
-  /** Called when another replica coordinates: questions to the former one may never be answered. */
+  /** Sends pending requests again, since the former coordinator may never respond. */
   coordinatorChanged(): void {
-    for (const ask of [...this.askers.values()]) {
-      ask();
+    for (const sendRequest of [...this.pendingRequests.values()]) {
+      sendRequest();
     }
-    // It grants nothing before it knows what runs here, were it nothing.
-    this.reportedEmptyAt = Number.NEGATIVE_INFINITY;
-    this.changed();
+    // The new coordinator grants no placements before it has a report of this entry, even an empty one.
+    this.emptyReportSentAt = Number.NEGATIVE_INFINITY;
+    this.scheduleReport();
   }
 
-  /** Asks for a place until there is an answer; the returned function withdraws the question. */
-  place(request: PlaceQuestion, done: (outcome: PlaceOutcome) => void): ports.Cancel {
+  /** Requests a placement and retries until there is a result; the returned function withdraws the request. */
+  place(request: PlacementParameters, done: (outcome: PlacementOutcome) => void): ports.Cancel {
     const { timers, peers, log } = this.options;
     const { identity } = request.facts;
-    const begun = timers.now();
+    const startedAt = timers.now();
     let settled = false;
-    let round = 0;
+    let latestAttempt = 0;
     let failingSince: number | undefined;
     let cancelTimer: ports.Cancel = () => undefined;
-    const settle = (outcome: PlaceOutcome): void => {
+    const settle = (outcome: PlacementOutcome): void => {
       if (!settled) {
         settled = true;
         cancelTimer();
-        this.askers.delete(identity);
+        this.pendingRequests.delete(identity);
         done(outcome);
       }
     };
-    const fail = (): void => {
+    const retryOrFallBack = (): void => {
       failingSince ??= timers.now();
-      if (timers.now() - failingSince > COORDINATOR_GRACE) {
+      if (timers.now() - failingSince > COORDINATOR_TIMEOUT) {
         log.warn('coordinatorSilent', { request: identity, since: Math.round(timers.now() - failingSince) });
         settle({ state: 'alone' });
         return;
       }
-      cancelTimer = timers.after(ASK_AGAIN, ask);
+      cancelTimer = timers.after(REQUEST_RETRY_DELAY, sendRequest);
     };
-    const ask = (): void => {
+    const sendRequest = (): void => {
       if (settled) {
         return;
       }
       cancelTimer();
-      round += 1;
-      const asked = round;
+      latestAttempt += 1;
+      const attempt = latestAttempt;
       const coordinator = this.options.coordinator();
       if (coordinator === '') {
-        fail();
+        retryOrFallBack();
         return;
       }
-      const elapsed = timers.now() - begun;
+      const elapsed = timers.now() - startedAt;
       const patience = Math.max(0, request.patience - elapsed);
       const objectiveLeft = request.objectiveLeft - elapsed;
       const { entry, dataCentre } = this.options;
       const parameters: methods.PlaceRequest = { ...request, entry, dataCentre, patience, objectiveLeft };
       peers.request(coordinator, methods.methods.place, parameters, patience + 500, (result) => {
-        if (settled || asked !== round) {
+        if (settled || attempt !== latestAttempt) {
           return;
         }
         if (result.ok) {
           settle(result.val as placementTypes.PlacementAnswer);
         } else {
-          fail();
+          retryOrFallBack();
         }
       });
     };
-    this.askers.set(identity, ask);
-    ask();
+    this.pendingRequests.set(identity, sendRequest);
+    sendRequest();
     return () => {
       if (!settled) {
         settled = true;
         cancelTimer();
-        this.askers.delete(identity);
+        this.pendingRequests.delete(identity);
         const coordinator = this.options.coordinator();
         if (coordinator !== '') {
           peers.notify(coordinator, methods.methods.withdraw, { identity } satisfies methods.Withdrawal);
@@ -177,67 +177,69 @@
   }
 
   /**
-   * Called when an instance has started anew under its name. Its connections from before may stay silent for good
-   * behind a cut; without this a caller would wait for its whole time for a stream that nobody makes any more.
+   * Notifies open generations that an instance has restarted.
+   *
+   * Failure: in a network partition the connections to the previous run stay open without data, and callers wait
+   * until their timeout for streams that no longer exist.
    */
   onRestart(instance: string): void {
-    for (const generation of [...this.open.values()]) {
+    for (const generation of [...this.openGenerations.values()]) {
       generation.onRestart(instance);
     }
   }
 
-  /** Adds a generation to the reports. */
-  opened(identity: string, generation: OpenGeneration): void {
-    this.open.set(identity, generation);
-    this.changed();
+  /** Includes a generation in the reports. */
+  addGeneration(identity: string, generation: OpenGeneration): void {
+    this.openGenerations.set(identity, generation);
+    this.scheduleReport();
   }
 
-  /** Takes a generation out of the reports; `finished` where it ended by itself. */
-  closed(identity: string, finished: placementTypes.FinishedGeneration | undefined): void {
-    this.open.delete(identity);
+  /** Removes a generation from the reports; `finished` is set if it completed. */
+  removeGeneration(identity: string, finished: placementTypes.FinishedGeneration | undefined): void {
+    this.openGenerations.delete(identity);
     if (finished !== undefined) {
       this.finished.push(finished);
     }
-    this.changed();
+    this.scheduleReport();
   }
 
-  /** Reports soon: something began, ended or moved. */
-  changed(): void {
+  /** Schedules a report after a generation has started, ended or moved. */
+  scheduleReport(): void {
     if (this.reportScheduled) {
       return;
     }
     this.reportScheduled = true;
-    this.options.timers.after(REPORT_PAUSE, () => {
+    this.options.timers.after(REPORT_DELAY, () => {
       this.reportScheduled = false;
       this.sendReport();
     });
   }
 
   get openCount(): number {
-    return this.open.size;
+    return this.openGenerations.size;
   }
 
   private sendReport(): void {
     const { peers, timers, entry, peerAddress, coordinator, instances } = this.options;
-    const address = coordinator();
+    const coordinatorAddress = coordinator();
     const generations: placementTypes.RunningGeneration[] = [];
     const leaving = new Set<string>();
-    for (const generation of this.open.values()) {
+    for (const generation of this.openGenerations.values()) {
       const running = generation.describe();
       if (running !== undefined) {
         generations.push(running);
-        if (generation.isLeaving()) {
+        if (generation.isUpstreamDraining()) {
           leaving.add(running.instance);
         }
       }
     }
     const { finished, epoch } = this;
     const now = timers.now();
-    const empty = generations.length === 0 && finished.length === 0;
-    if (address === '' || (empty && now - this.reportedEmptyAt < EMPTY_REPORT_INTERVAL)) {
+    const isEmpty = generations.length === 0 && finished.length === 0;
+    if (coordinatorAddress === '' || (isEmpty && now - this.emptyReportSentAt < EMPTY_REPORT_INTERVAL)) {
       return;
     }
-    this.reportedEmptyAt = empty ? now : Number.NEGATIVE_INFINITY;
+    this.emptyReportSentAt = isEmpty ? now : Number.NEGATIVE_INFINITY;
     this.sequence += 1;
     this.finished = [];
     const report: placementTypes.EntryReport = {
@@ -248,8 +250,8 @@
       generations,
       finished,
       leaving: [...leaving],
-      unlisted: instances.unlistedBy(address, now),
+      unlisted: instances.unlistedBy(coordinatorAddress, now),
     };
-    peers.notify(address, methods.methods.report, report);
+    peers.notify(coordinatorAddress, methods.methods.report, report);
   }
 }
--- a/packages/kumquatfront/src/relay/plainExchange.ts
+++ b/packages/kumquatfront/src/relay/plainExchange.ts
@@ -1,20 +1,17 @@
 /**
- * Relays one request whose answer is handed over whole. An idempotent one may run on several upstreams; any
- * other is sent again only where it is certain that it has not run.
+ * Relays one request with a buffered response. Idempotent requests may run on several upstreams; any other request
+ * is retried only if it certainly did not run.
  */
 import type * as instanceView from '../instances/instanceView.js';
 import type * as ports from '../kernel/ports.js';
 import * as quarantine from '../quarantine/quarantine.js';
-import * as answerRules from './answerRules.js';
+import * as responseClassification from './responseClassification.js';
 import * as exchangeContext from './exchangeContext.js';
 import type * as types from './types.js';
 
-/**
- * An idempotent request without an answer for this share of its objective is sent to a second upstream too:
- * one in a hundred of plain calls takes longer, and a hanging upstream costs a fraction of the objective only.
- */
-const HEDGE_SHARE = 0.7;
-const SHORTEST_HEDGE: ports.Milliseconds = 60;
+/** Share of the objective after which an unanswered idempotent request is also sent to a second upstream. */
+const HEDGE_DELAY_SHARE = 0.7;
+const MINIMUM_HEDGE_DELAY: ports.Milliseconds = 60;
 
 interface Attempt {
   readonly instance: instanceView.Instance;
@@ -23,19 +20,19 @@
   readonly chunks: Uint8Array[];
 }
 
-/** One plain exchange; see the module comment. */
+/** One exchange with a buffered response; see the module comment. */
 export class PlainExchange {
   private readonly context: exchangeContext.ExchangeContext;
   private readonly routed: exchangeContext.RoutedRequest;
-  private readonly tried = new Set<string>();
-  private readonly open = new Set<Attempt>();
-  /** Upstreams that may have run the request. */
-  private runs = 0;
-  private sends = 0;
+  private readonly triedUpstreams = new Set<string>();
+  private readonly openAttempts = new Set<Attempt>();
+  /** Number of attempts that may have run the request. */
+  private possibleRuns = 0;
+  private sendCount = 0;
   private ended = false;
   private lastFailure: { head: types.UpstreamHead; body: Uint8Array } | undefined;
-  /** Upstreams that answered with a failure of their own. */
-  private readonly failedOn: string[] = [];
+  /** Upstreams that responded with a server error. */
+  private readonly failedUpstreams: string[] = [];
   private cancelDeadline: ports.Cancel = () => undefined;
   private cancelHedge: ports.Cancel = () => undefined;
   private cancelQuarantine: ports.Cancel = () => undefined;
@@ -45,65 +42,69 @@
     this.routed = routed;
   }
 
-  private get repeatable(): boolean {
+  private get isIdempotent(): boolean {
     return this.routed.route.kind === 'idempotent';
   }
 
   start(): void {
     const { timers, allowance } = this.context;
-    const { caller, answerBy, service, route } = this.routed;
-    allowance.requested(service.name, timers.now());
+    const { caller, deadline, service, route } = this.routed;
+    allowance.recordRequest(service.name, timers.now());
     caller.onGone(() => {
       this.finish({ outcome: 'callerGone' });
     });
-    this.cancelDeadline = timers.after(answerBy - timers.now(), () => {
-      this.giveUp();
+    this.cancelDeadline = timers.after(deadline - timers.now(), () => {
+      this.onDeadline();
     });
     this.cancelQuarantine = exchangeContext.whenQuarantined(this.context, this.routed, () => {
       this.refuseQuarantined();
     });
     this.sendNext();
-    if (this.repeatable && route.maximumAttempts > 1) {
-      this.cancelHedge = timers.after(Math.max(SHORTEST_HEDGE, route.objective * HEDGE_SHARE), () => {
-        this.hedge();
-      });
+    if (this.isIdempotent && route.maximumAttempts > 1) {
+      this.cancelHedge = timers.after(
+        Math.max(MINIMUM_HEDGE_DELAY, route.objective * HEDGE_DELAY_SHARE),
+        () => {
+          this.sendHedge();
+        },
+      );
     }
   }
 
-  private hedge(): void {
-    const mayHedge = !this.ended && this.open.size === 1 && !this.isQuarantined && this.hasAttemptsLeft;
-    const instance = mayHedge ? this.nextUpstream() : undefined;
-    if (instance !== undefined && this.takeRepeat()) {
+  private sendHedge(): void {
+    const canHedge =
+      !this.ended && this.openAttempts.size === 1 && !this.isQuarantined && this.hasAttemptsLeft;
+    const instance = canHedge ? this.nextUpstream() : undefined;
+    if (instance !== undefined && this.takeRetry()) {
       this.context.log.debug('hedged', { request: this.routed.request.identity });
       this.send(instance);
     }
   }
 
   private get isQuarantined(): boolean {
-    return exchangeContext.verdictOf(this.context, this.routed) === 'quarantined';
+    return exchangeContext.quarantineVerdictOf(this.context, this.routed) === 'quarantined';
   }
 
   private get hasAttemptsLeft(): boolean {
-    return this.runs < this.routed.route.maximumAttempts;
+    return this.possibleRuns < this.routed.route.maximumAttempts;
   }
 
-  /** Draws a repeat from the budget that all entries share, once it is known where the request would go. */
-  private takeRepeat(): boolean {
+  /** Takes one retry from the shared budget; called only after an upstream for it was found. */
+  private takeRetry(): boolean {
     const { allowance, timers } = this.context;
     return allowance.take(this.routed.service.name, timers.now());
   }
 
-  /** An upstream that the request has not been sent to; undefined where none is left. */
+  /** Next upstream that was not tried; undefined if none is left. */
   private nextUpstream(): instanceView.Instance | undefined {
     const { choice, timers } = this.context;
     const candidates = exchangeContext.candidatesOf(this.context, this.routed);
-    return choice.choose(candidates, this.tried, timers.now());
+    return choice.choose(candidates, this.triedUpstreams, timers.now());
   }
 
   private sendNext(): void {
     const instance = this.nextUpstream();
     if (instance === undefined) {
-      this.noUpstreamLeft();
+      this.onNoUpstreamLeft();
     } else {
       this.send(instance);
     }
@@ -111,12 +112,12 @@
 
   private send(instance: instanceView.Instance): void {
     const { choice, timers, upstreams } = this.context;
-    const { request, account, answerBy, dataCentres } = this.routed;
+    const { request, account, deadline, dataCentres } = this.routed;
     const now = timers.now();
-    this.tried.add(instance.identity);
-    this.runs += 1;
-    this.sends += 1;
-    choice.dispatched(instance, now);
+    this.triedUpstreams.add(instance.identity);
+    this.possibleRuns += 1;
+    this.sendCount += 1;
+    choice.recordDispatch(instance, now);
     const chunks: Uint8Array[] = [];
     const listener: types.ExchangeListener = {
       head: (head) => {
@@ -126,25 +127,25 @@
         chunks.push(bytes);
       },
       end: () => {
-        this.onWhole(attempt);
+        this.onResponse(attempt);
       },
       failed: (failure, reason) => {
-        this.onFailed(attempt, failure, reason);
+        this.onAttemptFailed(attempt, failure, reason);
       },
     };
-    const timeLeft = answerBy - now;
+    const timeLeft = deadline - now;
     const cancel = upstreams.send({ request, instance, timeLeft, account, dataCentres }, listener);
     const attempt: Attempt = { instance, cancel, head: undefined, chunks };
-    this.open.add(attempt);
+    this.openAttempts.add(attempt);
   }
 
   private close(attempt: Attempt): void {
-    if (this.open.delete(attempt)) {
-      this.context.choice.ended(attempt.instance.identity);
+    if (this.openAttempts.delete(attempt)) {
+      this.context.choice.recordCompletion(attempt.instance.identity);
     }
   }
 
-  private onWhole(attempt: Attempt): void {
+  private onResponse(attempt: Attempt): void {
     const { choice, timers, log } = this.context;
     const { head, instance } = attempt;
     this.close(attempt);
@@ -152,56 +153,56 @@
       return;
     }
     if (head.load !== undefined) {
-      choice.loadTold(instance.identity, head.load, timers.now());
+      choice.recordReportedLoad(instance.identity, head.load, timers.now());
     }
-    const verdict = answerRules.judge(head, this.repeatable);
+    const verdict = responseClassification.classify(head, this.isIdempotent);
     if (verdict === 'notRun') {
-      this.runs -= 1;
+      this.possibleRuns -= 1;
       log.info('attemptNotRun', {
         request: this.routed.request.identity,
         upstream: instance.identity,
         status: head.status,
         pause: head.signals?.pause,
       });
-      this.tryAgain('notRun');
+      this.retryOrFinish('notRun');
       return;
     }
     if (verdict === 'garbled') {
-      choice.failed(instance.identity, 'failure', timers.now());
-      this.tryAgain('garbled');
+      choice.recordFailure(instance.identity, 'failure', timers.now());
+      this.retryOrFinish('garbled');
       return;
     }
     const body = Buffer.concat(attempt.chunks);
     if (head.status >= 500) {
-      this.failedOn.push(instance.identity);
+      this.failedUpstreams.push(instance.identity);
       this.lastFailure = { head, body };
-      this.tryAgain('upstreamFailed');
+      this.retryOrFinish('upstreamFailed');
       return;
     }
-    choice.succeeded(instance.identity);
-    this.blame();
-    this.hand(head, body, instance);
+    choice.recordSuccess(instance.identity);
+    this.recordUpstreamFailures();
+    this.deliver(head, body, instance);
   }
 
-  /** Counts this call against the upstreams that failed it, once it is known that the call is not at fault. */
-  private blame(): void {
+  /** Records failures of the upstreams that failed the request, once the request is known not to be the cause. */
+  private recordUpstreamFailures(): void {
     const { choice, timers } = this.context;
-    for (const identity of this.failedOn) {
-      choice.failed(identity, 'failure', timers.now());
+    for (const identity of this.failedUpstreams) {
+      choice.recordFailure(identity, 'failure', timers.now());
     }
   }
 
-  private hand(head: types.UpstreamHead, body: Uint8Array, instance?: instanceView.Instance): void {
+  private deliver(head: types.UpstreamHead, body: Uint8Array, instance?: instanceView.Instance): void {
     this.routed.caller.whole(head, body);
     this.finish({
       outcome: 'answered',
       status: head.status,
       upstream: instance?.identity,
-      sends: this.sends,
+      sends: this.sendCount,
     });
   }
 
-  private onFailed(attempt: Attempt, failure: types.ExchangeFailure, reason: string): void {
+  private onAttemptFailed(attempt: Attempt, failure: types.ExchangeFailure, reason: string): void {
     const { choice, timers, log } = this.context;
     this.close(attempt);
     if (this.ended) {
@@ -210,103 +211,111 @@
     const { identity } = attempt.instance;
     log.info('attemptFailed', {
       request: this.routed.request.identity,
-      content: exchangeContext.contentOf(this.routed),
+      content: exchangeContext.contentDigestOf(this.routed),
       upstream: identity,
       failure,
       reason,
     });
     if (failure === 'quarantined') {
-      this.runs -= 1;
+      this.possibleRuns -= 1;
       this.refuseQuarantined();
       return;
     }
     if (failure !== 'withheld') {
-      choice.failed(identity, failure === 'notSent' ? 'stall' : 'failure', timers.now());
+      choice.recordFailure(identity, failure === 'notSent' ? 'stall' : 'failure', timers.now());
     }
     if (failure === 'notSent' || failure === 'withheld') {
-      this.runs -= 1;
+      this.possibleRuns -= 1;
       this.sendNext();
       return;
     }
-    this.tryAgain(failure);
+    this.retryOrFinish(failure);
   }
 
-  /** After an attempt that gave no answer: sends another where that is allowed, else tells the caller. */
-  private tryAgain(cause: 'notRun' | 'garbled' | 'broken' | 'upstreamFailed'): void {
-    if (this.open.size > 0) {
+  /** Retries after an attempt without a usable response if that is permitted, otherwise responds to the caller. */
+  private retryOrFinish(cause: 'notRun' | 'garbled' | 'broken' | 'upstreamFailed'): void {
+    if (this.openAttempts.size > 0) {
       return;
     }
     if (this.isQuarantined) {
       this.refuseQuarantined();
       return;
     }
-    const mayGoOn = (cause === 'notRun' || this.repeatable) && this.hasAttemptsLeft;
-    const instance = mayGoOn ? this.nextUpstream() : undefined;
-    if (mayGoOn && instance === undefined) {
-      this.noUpstreamLeft();
+    const mayRetry = (cause === 'notRun' || this.isIdempotent) && this.hasAttemptsLeft;
+    const instance = mayRetry ? this.nextUpstream() : undefined;
+    if (mayRetry && instance === undefined) {
+      this.onNoUpstreamLeft();
       return;
     }
-    if (instance !== undefined && this.takeRepeat()) {
+    if (instance !== undefined && this.takeRetry()) {
       this.send(instance);
       return;
     }
-    if (cause === 'notRun' && this.runs === 0) {
-      this.refuse('overloaded', 'every upstream that was asked is full', exchangeContext.NO_UPSTREAM_RETRY);
+    if (cause === 'notRun' && this.possibleRuns === 0) {
+      this.refuse(
+        'overloaded',
+        'every upstream that was tried is at capacity',
+        exchangeContext.NO_UPSTREAM_RETRY_DELAY,
+      );
       return;
     }
-    this.failUnknown();
+    this.finishFailed();
   }
 
-  /** Upstreams end under this content: whatever still runs is cancelled, so that it may not end one more. */
+  /** Refuses the request and cancels open attempts, so that its content crashes no further upstream. */
   private refuseQuarantined(): void {
-    const reason = this.runs === 0 ? 'quarantined' : 'outcomeUnknown';
+    const reason = this.possibleRuns === 0 ? 'quarantined' : 'outcomeUnknown';
     this.refuse(reason, quarantine.QUARANTINED);
   }
 
-  private noUpstreamLeft(): void {
-    if (this.open.size > 0) {
+  private onNoUpstreamLeft(): void {
+    if (this.openAttempts.size > 0) {
       return;
     }
-    if (this.runs === 0 || (this.repeatable && this.lastFailure === undefined)) {
-      const { reason, message, retryAfter } = exchangeContext.noneLeft(
+    if (this.possibleRuns === 0 || (this.isIdempotent && this.lastFailure === undefined)) {
+      const { reason, message, retryAfter } = exchangeContext.noUpstreamRefusal(
         this.context,
         this.routed,
-        'no upstream took it',
+        'no upstream accepted the request',
       );
       this.refuse(reason, message, retryAfter);
       return;
     }
-    this.failUnknown();
+    this.finishFailed();
   }
 
-  private failUnknown(): void {
+  private finishFailed(): void {
     if (this.lastFailure !== undefined) {
-      // Two upstreams failed it alike: the call is at fault, and neither of them is to be avoided.
-      if (this.failedOn.length === 1) {
-        this.blame();
+      // If two upstreams fail the same request, the request is the likely cause and neither is penalized.
+      if (this.failedUpstreams.length === 1) {
+        this.recordUpstreamFailures();
       }
-      this.hand(this.lastFailure.head, this.lastFailure.body);
+      this.deliver(this.lastFailure.head, this.lastFailure.body);
       return;
     }
-    this.refuse('outcomeUnknown', 'the upstream gave no whole answer');
+    this.refuse('outcomeUnknown', 'the upstream did not send a complete response');
   }
 
-  private giveUp(): void {
-    if (this.runs === 0) {
-      this.refuse('timeoutNotRun', 'no upstream took it in time', exchangeContext.NO_UPSTREAM_RETRY);
+  private onDeadline(): void {
+    if (this.possibleRuns === 0) {
+      this.refuse(
+        'timeoutNotRun',
+        'no upstream accepted the request before its deadline',
+        exchangeContext.NO_UPSTREAM_RETRY_DELAY,
+      );
     } else {
       const { choice, timers } = this.context;
-      for (const attempt of this.open) {
-        choice.failed(attempt.instance.identity, 'stall', timers.now());
+      for (const attempt of this.openAttempts) {
+        choice.recordFailure(attempt.instance.identity, 'stall', timers.now());
         attempt.cancel('silent');
       }
-      this.refuse('timeoutUnknown', 'the upstream did not answer in time');
+      this.refuse('timeoutUnknown', 'the upstream did not respond before the deadline of the request');
     }
   }
 
   private refuse(reason: types.RefusalReason, message: string, retryAfter?: ports.Milliseconds): void {
     this.routed.caller.refuse({ reason, message, retryAfter });
-    this.finish({ outcome: reason, reason: message, sends: this.sends });
+    this.finish({ outcome: reason, reason: message, sends: this.sendCount });
   }
 
   private finish(outcome: ports.LogFields): void {
@@ -317,10 +326,10 @@
     this.cancelDeadline();
     this.cancelHedge();
     this.cancelQuarantine();
-    for (const attempt of [...this.open]) {
+    for (const attempt of [...this.openAttempts]) {
       attempt.cancel();
       this.close(attempt);
     }
-    exchangeContext.logEnd(this.context, this.routed, outcome);
+    exchangeContext.logRequestEnd(this.context, this.routed, outcome);
   }
 }
--- a/packages/kumquatfront/src/relay/relayBench.ts
+++ b/packages/kumquatfront/src/relay/relayBench.ts
@@ -1,5 +1,5 @@
 /**
- * One exchange with hand-driven upstreams on virtual time, for the specs of the relay.
+ * Test harness of the relay: exchanges on virtual time with upstreams that tests control.
  */
 import * as seededRandom from '../adapters/seededRandom.js';
 import * as rateLimitShare from '../backPressure/rateLimitShare.js';
@@ -24,22 +24,22 @@
 import * as retryAllowance from './retryAllowance.js';
 import type * as types from './types.js';
 
-/** A request as an upstream got it. */
+/** A call that was sent to an upstream. */
 export interface SentCall {
   readonly call: types.UpstreamCall;
   readonly listener: types.ExchangeListener;
   cancelled: boolean;
 }
 
-/** A copy of memory as an engine was asked for it. */
-export interface AskedCopy {
+/** A memory copy that was requested from an engine. */
+export interface CopyRequest {
   readonly source: string;
   readonly target: string;
   readonly stop: boolean;
   readonly done: (result: types.CopyResult) => void;
 }
 
-/** Head of a sound answer. */
+/** Head of a successful response. */
 export const soundHead: types.UpstreamHead = {
   status: 200,
   notRun: false,
@@ -48,15 +48,15 @@
   headers: [],
 };
 
-/** Head by which an upstream states that it did not run the request. */
+/** Head of a response which states that the request did not run. */
 export const notRunHead: types.UpstreamHead = { ...soundHead, status: 503, notRun: true, signed: false };
 
-/** An event of a stream. */
+/** Encodes a stream event. */
 export function event(identity: number): Uint8Array {
   return Buffer.from(`id: ${identity}\ndata: x\n\n`);
 }
 
-/** Traits of the engines on the bench. */
+/** Traits of the engines in the harness. */
 export const engineTraits: trafficTypes.EngineTraits = {
   slots: 24,
   memoryTokens: 30_000,
@@ -67,39 +67,39 @@
   tokensPerEvent: 4,
 };
 
-/** The bench; see the module comment. */
+/** Test harness of the relay; see the module comment. */
 export class RelayBench {
   readonly time = new virtualTime.VirtualTime();
   readonly timers = timerService.create(this.time.clock, this.time);
   readonly sent: SentCall[] = [];
-  readonly copies: AskedCopy[] = [];
-  readonly dropped: string[] = [];
-  /** Questions for places, in order. */
+  readonly copies: CopyRequest[] = [];
+  readonly releasedCopies: string[] = [];
+  /** Placement requests in order. */
   readonly asked: placementTypes.PlacementRequest[] = [];
-  /** Refusals that the caller got. */
+  /** Refusals that the caller received. */
   readonly refusals: types.Refusal[] = [];
-  /** What the caller got, in order. */
+  /** Responses and events that the caller received, in order. */
   readonly got: string[] = [];
-  /** Engines that the coordinator gives, in order; without one it says nothing. */
+  /** Engines that the coordinator grants, in order; it does not respond if the list is empty. */
   readonly places: string[] = [];
   readonly context: exchangeContext.ExchangeContext;
-  private gone: () => void = () => undefined;
-  private readonly served = new Map<string, ports.PeerHandler>();
+  private notifyCallerGone: () => void = () => undefined;
+  private readonly peerHandlers = new Map<string, ports.PeerHandler>();
   private readonly table = new instanceTable.InstanceTable('e');
 
   constructor(instances: readonly string[], slack = 100) {
     const { timers, time } = this;
     const random = seededRandom.create(5);
-    const nothing = (): void => undefined;
-    const log: ports.Log = { debug: nothing, info: nothing, warn: nothing, error: nothing };
-    const view = new instanceView.InstanceView(nothing);
+    const noop = (): void => undefined;
+    const log: ports.Log = { debug: noop, info: noop, warn: noop, error: noop };
+    const view = new instanceView.InstanceView(noop);
     for (const [index, identity] of instances.entries()) {
       const address = `10.0.0.${index + 1}:80`;
       const base = { service: 'llm', dataCentre: 'a', slots: 24, state: 'ready' as const, warmUpLeft: 0 };
       this.table.hear({ ...base, identity, name: identity, born: 0, address, sequence: 1 }, time.now());
     }
     view.merge('control', this.table.newsSince('', 0, 0), 0);
-    const metrics = { count: nothing, gauge: nothing, timing: nothing };
+    const metrics = { count: noop, gauge: noop, timing: noop };
     const guard = new quarantine.Quarantine({
       timers,
       log,
@@ -108,8 +108,8 @@
         done('accepted');
       },
       hasGivenNotice: (identity) => view.get(identity)?.state === 'leaving',
-      tell: nothing,
-      onEnded: nothing,
+      tell: noop,
+      onEnded: noop,
     });
     const signals = new signalBook.SignalBook({
       timers,
@@ -117,7 +117,7 @@
       metrics,
       noteNotice: (identity) => view.noteNotice(identity, time.now()),
       toldOf: (identity) => view.get(identity)?.rateLimit,
-      tell: nothing,
+      tell: noop,
     });
     const rules = new sendRules.SendRules({
       entry: 'entry',
@@ -175,7 +175,7 @@
         this.copies.push({ source: source.identity, target: target.identity, stop, done });
       },
       dropCopy: (copy) => {
-        this.dropped.push(copy.handle);
+        this.releasedCopies.push(copy.handle);
       },
     };
   }
@@ -194,23 +194,23 @@
       },
       notify: () => undefined,
       serve: (method, handler) => {
-        this.served.set(method, handler);
+        this.peerHandlers.set(method, handler);
       },
     };
   }
 
-  /** Tells the entry to move the generation, as the coordinator does; gives the outcome once there is one. */
+  /** Sends the coordinator's move command to the entry; `outcome` is set when the move ends. */
   move(source: string, target: string): { outcome: unknown } {
     const holder: { outcome: unknown } = { outcome: undefined };
     const command: placementTypes.MoveCommand = { identity: 'r', source, target };
-    this.served.get(methods.methods.move)?.(command, (result) => {
+    this.peerHandlers.get(methods.methods.move)?.(command, (result) => {
       holder.outcome = result.ok ? result.val : 'error';
     });
     return holder;
   }
 
-  /** An instance gives notice. */
-  leave(identity: string): void {
+  /** Publishes the termination notice of an instance. */
+  sendTerminationNotice(identity: string): void {
     const { revision } = this.table.newsSince('e', 0, this.time.now());
     this.table.leave(identity, this.time.now());
     this.context.instances.merge(
@@ -220,11 +220,11 @@
     );
   }
 
-  leaveByCaller(): void {
-    this.gone();
+  disconnectCaller(): void {
+    this.notifyCallerGone();
   }
 
-  /** A request on a route, with its caller. */
+  /** Creates a routed request whose caller records what it receives. */
   routed(
     kind: trafficTypes.CallKind,
     changes: Partial<trafficTypes.Route> = {},
@@ -262,7 +262,7 @@
           got.push('abort');
         },
         onGone: (gone) => {
-          this.gone = gone;
+          this.notifyCallerGone = gone;
         },
       },
       route: {
@@ -281,8 +281,8 @@
         ...changes,
       },
       service: { name: 'llm', maximumConnections: 10, engine: kind === 'stream' ? engineTraits : undefined },
-      rank: 1,
-      answerBy: this.time.now() + 10_000,
+      upstreamPriority: 1,
+      deadline: this.time.now() + 10_000,
       version: 1,
     };
   }
--- /dev/null
+++ b/packages/kumquatfront/src/relay/responseClassification.ts
@@ -0,0 +1,44 @@
+/**
+ * Classifies upstream responses: forward to the caller, retry on another upstream, or treat as invalid.
+ */
+import type * as types from './types.js';
+
+/**
+ * - `notRun`: the request did not run and may be sent to another upstream.
+ * - `garbled`: the response is invalid; whether the request ran is unknown.
+ * - `answer`: the response can be forwarded to the caller.
+ */
+export type ResponseClass = 'notRun' | 'garbled' | 'answer';
+
+/** Statuses that callers take as permission to retry. An upstream may send them after it ran the request. */
+const RETRYABLE_STATUSES = new Set([408, 421, 429, 503]);
+
+const MISDIRECTED = 421;
+
+/**
+ * Classifies a response by its head.
+ *
+ * Failure: a caller receives a retryable status for a non-idempotent request that may have run, and sends it again.
+ * Such a status is forwarded only if the request is idempotent.
+ *
+ * @param head - the head of the response
+ * @param repeatable - true if the request is safe to run more than once
+ * @returns the class of the response
+ * @example
+ * ```ts
+ * if (answerRules.judge(head, false) === 'notRun') tryAnother();
+ * ```
+ */
+export function classify(head: types.UpstreamHead, repeatable: boolean): ResponseClass {
+  if (head.notRun || head.status === MISDIRECTED) {
+    return 'notRun';
+  }
+  if (!head.belongs || head.status < 200) {
+    return 'garbled';
+  }
+  if (RETRYABLE_STATUSES.has(head.status) && !repeatable) {
+    return 'garbled';
+  }
+  const success = head.status < 300;
+  return success && !head.signed ? 'garbled' : 'answer';
+}
--- a/packages/kumquatfront/src/relay/retryAllowance.ts
+++ b/packages/kumquatfront/src/relay/retryAllowance.ts
@@ -1,80 +1,78 @@
 /**
- * This entry's share of the repeats that the whole system may send to a service.
+ * This entry's share of the retry budget of a service.
  *
- * Failure: upstreams that fail under overload are sent every request twice and never recover. A budget over a
- * sliding window bounds what all entries together add; each takes its share by the number of entries, so no
- * message is needed for a repeat.
+ * Failure: retries double the load of overloaded upstreams, which then never recover. The budget limits the retries
+ * of all entries in a sliding window. Each entry uses a fixed share of it, so that retries need no coordination.
  */
 import type * as ports from '../kernel/ports.js';
 
-/** Bounds of repeats, summed over all entries. */
+/** Limits of retries, summed over all entries. */
 export interface AllowanceSettings {
-  /** Repeats for each request. */
+  /** Retries permitted per request. */
   readonly ratio: number;
-  /** Repeats that are free in each window. */
+  /** Retries permitted in each window in addition to `ratio`. */
   readonly slack: number;
   readonly window: ports.Milliseconds;
 }
 
-/** Share of the budget that is used: what entries count in windows of their own does not add up exactly. */
-const USED_SHARE = 0.7;
+/** Share of the budget that is used; the margin compensates for the unaligned windows of entries. */
+const BUDGET_UTILIZATION = 0.7;
 
-interface Counts {
+interface RetryCounts {
   requests: number[];
-  repeats: number[];
-  /** Below 1; drawn anew for each repeat. */
+  retries: number[];
+  /** Random rounding offset in [0, 1); drawn again after each retry. */
   dither: number;
 }
 
-/** The allowance; see the module comment. */
+/** Retry budget of one entry; see the module comment. */
 export class RetryAllowance {
   private readonly settings: AllowanceSettings;
-  private readonly shareOfSlack: () => number;
+  private readonly slackShare: () => number;
   private readonly random: ports.Random;
-  private readonly counts = new Map<string, Counts>();
+  private readonly counts = new Map<string, RetryCounts>();
 
   /**
-   * @param settings - bounds that all entries share
-   * @param shareOfSlack - this entry's share of the free repeats, from 0 to 1
-   * @param random - rounds the share of an entry, which is rarely a whole number
+   * @param settings - limits that all entries share
+   * @param shareOfSlack - this entry's share of `settings.slack`, from 0 to 1
+   * @param random - source of the random rounding
    */
   constructor(settings: AllowanceSettings, shareOfSlack: () => number, random: ports.Random) {
     this.settings = settings;
     this.random = random;
-    this.shareOfSlack = shareOfSlack;
+    this.slackShare = shareOfSlack;
   }
 
-  private countsOf(service: string, now: number): Counts {
-    const counts = this.counts.get(service) ?? { requests: [], repeats: [], dither: this.random.next() };
+  private countsOf(service: string, now: number): RetryCounts {
+    const counts = this.counts.get(service) ?? { requests: [], retries: [], dither: this.random.next() };
     this.counts.set(service, counts);
     const oldest = now - this.settings.window;
-    for (const times of [counts.requests, counts.repeats]) {
+    for (const times of [counts.requests, counts.retries]) {
       const first = times.findIndex((time) => time > oldest);
       times.splice(0, first < 0 ? times.length : first);
     }
     return counts;
   }
 
-  /** Notes a caller's request to a service. */
-  requested(service: string, now: number): void {
+  /** Records a caller's request to a service. */
+  recordRequest(service: string, now: number): void {
     this.countsOf(service, now).requests.push(now);
   }
 
   /**
-   * Takes one repeat from the budget; false where none is left.
+   * Takes one retry from the budget; false if the budget is exhausted.
    *
-   * Of two hundred entries each has a share of two or so. Rounded down, a share of 1.96 would refuse 3 in 100 repeats
-   * while hundreds are left; rounded up, entries would exceed the bound together. Rounded at random, by a draw that
-   * only a repeat renews, they use their share on average.
+   * With many entries the share of each is a small fraction. Rounding it down would refuse retries while the shared
+   * budget is unused, and rounding it up would exceed the budget. Random rounding uses the share on average.
    */
   take(service: string, now: number): boolean {
     const { ratio, slack } = this.settings;
     const counts = this.countsOf(service, now);
-    const allowed = USED_SHARE * (ratio * counts.requests.length + slack * this.shareOfSlack());
-    if (counts.repeats.length + counts.dither >= allowed) {
+    const allowed = BUDGET_UTILIZATION * (ratio * counts.requests.length + slack * this.slackShare());
+    if (counts.retries.length + counts.dither >= allowed) {
       return false;
     }
-    counts.repeats.push(now);
+    counts.retries.push(now);
     counts.dither = this.random.next();
     return true;
   }
--- a/packages/kumquatfront/src/relay/streamExchange.ts
+++ b/packages/kumquatfront/src/relay/streamExchange.ts
@@ -1,7 +1,7 @@
 /**
- * Relays one stream of events. It runs on one upstream at a time; it may be moved with its memory to another
- * engine while it runs, and where its route allows it, it goes on elsewhere after the last event that came.
- * Whatever happens underneath, the caller sees each event once and in order, or a stream that breaks off.
+ * Relays one event stream. It runs on one upstream at a time, can be moved with its memory to another engine, and, if
+ * its route permits, resumes on another upstream after the last received event. The caller receives each event once
+ * and in order, or an aborted stream.
  */
 import type * as instanceView from '../instances/instanceView.js';
 import type * as ports from '../kernel/ports.js';
@@ -10,138 +10,143 @@
 import type * as eventSplitter from './eventSplitter.js';
 import * as exchangeContext from './exchangeContext.js';
 import * as generationFacts from './generationFacts.js';
-import * as placeFinder from './placeFinder.js';
+import * as upstreamSelector from './upstreamSelector.js';
 import type * as placementClient from './placementClient.js';
-import * as silencePatience from './silencePatience.js';
+import * as idleTimeout from './idleTimeout.js';
 import * as streamDelivery from './streamDelivery.js';
-import * as streamLeg from './streamLeg.js';
+import * as streamSegment from './streamSegment.js';
 import * as streamMove from './streamMove.js';
-import * as streamStory from './streamStory.js';
+import * as streamLogSummary from './streamLogSummary.js';
 import type * as types from './types.js';
 
-/** One stream; see the module comment. */
+/** One stream exchange; see the module comment. */
 export class StreamExchange implements placementClient.OpenGeneration {
   private readonly context: exchangeContext.ExchangeContext;
   private readonly routed: exchangeContext.RoutedRequest;
-  private readonly facts: placementTypes.GenerationFacts | undefined;
+  private readonly attributes: placementTypes.GenerationFacts | undefined;
   private readonly delivery: streamDelivery.StreamDelivery;
-  private readonly finder: placeFinder.PlaceFinder;
-  private readonly moving: streamMove.StreamMove;
-  private leg: streamLeg.StreamLeg | undefined;
+  private readonly selector: upstreamSelector.UpstreamSelector;
+  private readonly moveController: streamMove.StreamMove;
+  /** Open segment; undefined while the stream has no upstream. */
+  private active: streamSegment.StreamSegment | undefined;
   private ended = false;
-  /** Upstreams that may have run the request from its start or a resumption. */
-  private runs = 0;
+  /** Number of attempts that may have run the request, including resumptions. */
+  private possibleRuns = 0;
   sends = 0;
   moves = 0;
-  /** Set while another upstream is sought for a leg that is silent. */
-  private silentSearch: { readonly leg: streamLeg.StreamLeg; readonly events: number } | undefined;
+  /** Set while a replacement for an idle segment is being selected. */
+  private idleSearch:
+    { readonly segment: streamSegment.StreamSegment; readonly eventCount: number } | undefined;
   private cancelDeadline: ports.Cancel = () => undefined;
-  private cancelSilence: ports.Cancel = () => undefined;
+  private cancelIdleTimer: ports.Cancel = () => undefined;
   private cancelQuarantine: ports.Cancel = () => undefined;
 
   constructor(context: exchangeContext.ExchangeContext, routed: exchangeContext.RoutedRequest) {
     this.context = context;
     this.routed = routed;
-    this.facts = generationFacts.of(routed);
+    this.attributes = generationFacts.of(routed);
     this.delivery = new streamDelivery.StreamDelivery(routed.caller, routed.request.lastEvent);
-    this.finder = new placeFinder.PlaceFinder(context, routed, this.facts, {
-      found: (instance) => {
-        this.onPlace(instance);
+    this.selector = new upstreamSelector.UpstreamSelector(context, routed, this.attributes, {
+      selected: (instance) => {
+        this.onUpstreamSelected(instance);
       },
-      none: (reason, message, retryAfter) => {
-        this.noPlace(reason, message, retryAfter);
+      unavailable: (reason, message, retryAfter) => {
+        this.onNoUpstream(reason, message, retryAfter);
       },
     });
-    this.moving = new streamMove.StreamMove({
+    this.moveController = new streamMove.StreamMove({
       request: routed.request.identity,
       upstreams: context.upstreams,
       timers: context.timers,
       log: context.log,
-      goOn: (next) => {
-        this.goOnFromCopy(next);
+      resumeFrom: (next) => {
+        this.resumeFromCopy(next);
       },
     });
   }
 
   start(): void {
     const { timers, allowance, placement } = this.context;
-    const { caller, answerBy, service, request } = this.routed;
-    allowance.requested(service.name, timers.now());
+    const { caller, deadline, service, request } = this.routed;
+    allowance.recordRequest(service.name, timers.now());
     caller.onGone(() => {
       this.finish({ outcome: 'callerGone' });
     });
-    this.cancelDeadline = timers.after(answerBy - timers.now(), () => {
-      this.giveUp();
+    this.cancelDeadline = timers.after(deadline - timers.now(), () => {
+      this.onDeadline();
     });
     this.cancelQuarantine = exchangeContext.whenQuarantined(this.context, this.routed, () => {
       this.onQuarantined();
     });
-    if (this.facts !== undefined) {
-      placement.opened(request.identity, this);
+    if (this.attributes !== undefined) {
+      placement.addGeneration(request.identity, this);
     }
-    this.finder.find();
+    this.selector.select();
   }
 
   /**
-   * Upstreams end under this content. A run that has made an event is not one of those that end theirs at the begin,
-   * and may prove the content sound; any other is cancelled before it does.
+   * Ends the stream when its content is quarantined. A run that has produced an event continues, since its completion
+   * can show that the content is harmless; any other is cancelled before it can crash the upstream.
    */
   private onQuarantined(): void {
-    if (this.leg === undefined || this.leg.events === 0) {
-      this.endQuarantined();
+    if (this.active === undefined || this.active.eventCount === 0) {
+      this.finishQuarantined();
     }
   }
 
-  private endQuarantined(): void {
-    if (this.delivery.begun) {
-      this.breakOff(quarantine.QUARANTINED);
+  private finishQuarantined(): void {
+    if (this.delivery.started) {
+      this.abort(quarantine.QUARANTINED);
     } else {
-      const reason = this.runs === 0 ? 'quarantined' : 'outcomeUnknown';
+      const reason = this.possibleRuns === 0 ? 'quarantined' : 'outcomeUnknown';
       this.refuse(reason, quarantine.QUARANTINED);
     }
   }
 
   describe(): placementTypes.RunningGeneration | undefined {
-    if (this.leg === undefined || this.facts === undefined) {
+    if (this.active === undefined || this.attributes === undefined) {
       return undefined;
     }
-    const { produced, facts, leg } = this;
-    return { facts, instance: leg.instance.identity, produced, started: leg.events > 0 };
+    const { produced, attributes: facts, active: segment } = this;
+    return { facts, instance: segment.instance.identity, produced, started: segment.eventCount > 0 };
   }
 
-  isLeaving(): boolean {
-    return this.leg !== undefined && this.context.instances.hasGivenNotice(this.leg.instance.identity);
+  isUpstreamDraining(): boolean {
+    return this.active !== undefined && this.context.instances.hasGivenNotice(this.active.instance.identity);
   }
 
   private get resumable(): boolean {
     return this.routed.route.resumable;
   }
 
-  private onPlace(instance: instanceView.Instance): void {
-    const { leg, silentSearch: search } = this;
-    this.silentSearch = undefined;
-    if (leg !== undefined) {
-      const cameBack = search?.leg !== leg || search.events !== leg.events || this.moving.isStopping;
-      if (cameBack || !this.mayResume()) {
-        // The place is given back with the next report.
+  private onUpstreamSelected(instance: instanceView.Instance): void {
+    const { active: segment, idleSearch } = this;
+    this.idleSearch = undefined;
+    if (segment !== undefined) {
+      const hasRecovered =
+        idleSearch?.segment !== segment ||
+        idleSearch.eventCount !== segment.eventCount ||
+        this.moveController.isStopping;
+      if (hasRecovered || !this.takeResumption()) {
+        // The next report releases the unused placement.
         return;
       }
       this.logResumption('silent');
-      this.dropLeg(leg, 'silent');
+      this.closeSegment(segment, 'silent');
     }
     this.send(instance, undefined);
   }
 
-  /** No engine takes it: a refusal is true only where none has run it before. */
-  private noPlace(reason: types.RefusalReason, message: string, retryAfter: ports.Milliseconds): void {
-    if (this.leg !== undefined) {
-      this.silentSearch = undefined;
-      this.watchSilence();
+  /** Handles the lack of an upstream; the request is refused as not run only if no attempt may have run it. */
+  private onNoUpstream(reason: types.RefusalReason, message: string, retryAfter: ports.Milliseconds): void {
+    if (this.active !== undefined) {
+      this.idleSearch = undefined;
+      this.startIdleTimer();
       return;
     }
-    if (this.delivery.begun) {
-      this.breakOff(message);
-    } else if (this.runs > 0 && !this.resumable) {
+    if (this.delivery.started) {
+      this.abort(message);
+    } else if (this.possibleRuns > 0 && !this.resumable) {
       this.refuse('outcomeUnknown', message);
     } else {
       this.refuse(reason, message, retryAfter);
@@ -150,219 +155,231 @@
 
   private send(instance: instanceView.Instance, copy: types.MemoryCopy | undefined): void {
     const { upstreams, choice, timers, placement, log } = this.context;
-    const { request, account, rank, answerBy, dataCentres } = this.routed;
+    const { request, account, upstreamPriority, deadline, dataCentres } = this.routed;
     const now = timers.now();
-    const leg = new streamLeg.StreamLeg(instance, copy);
-    this.leg = leg;
+    const segment = new streamSegment.StreamSegment(instance, copy);
+    this.active = segment;
     this.sends += 1;
     if (copy === undefined) {
-      this.runs += 1;
+      this.possibleRuns += 1;
     }
-    choice.dispatched(instance, now);
+    choice.recordDispatch(instance, now);
     log.debug('streamSent', {
       request: request.identity,
       upstream: instance.identity,
       lastEvent: this.delivery.lastEvent,
       copy: copy?.handle,
     });
-    const urgency = this.facts === undefined ? undefined : rank;
+    const urgency = this.attributes === undefined ? undefined : upstreamPriority;
     const call: types.UpstreamCall = {
       request,
       instance,
-      timeLeft: answerBy - now,
+      timeLeft: deadline - now,
       account,
       urgency,
       lastEvent: this.delivery.lastEvent,
       copy,
       dataCentres,
     };
-    leg.start(upstreams, call, this.resumable, this.listen(leg));
-    this.watchSilence();
-    placement.changed();
+    segment.start(upstreams, call, this.resumable, this.createSegmentListener(segment));
+    this.startIdleTimer();
+    placement.scheduleReport();
   }
 
-  private listen(leg: streamLeg.StreamLeg): streamLeg.LegListener {
+  private createSegmentListener(segment: streamSegment.StreamSegment): streamSegment.SegmentListener {
     const { choice, timers } = this.context;
     return {
-      begun: (head) => {
-        this.delivery.takeHead(head);
+      started: (head) => {
+        this.delivery.setHead(head);
       },
-      loadTold: (load) => {
-        choice.loadTold(leg.instance.identity, load, timers.now());
+      loadReported: (load) => {
+        choice.recordReportedLoad(segment.instance.identity, load, timers.now());
       },
       event: (event) => {
-        this.onEvent(leg, event);
+        this.onEvent(segment, event);
       },
-      ended: (rest) => {
+      completed: (rest) => {
         this.onClose(() => {
-          this.onEnd(leg, rest);
+          this.onEnd(segment, rest);
         });
       },
-      failureAnswered: (failure) => {
+      errorReceived: (failure) => {
         this.onClose(() => {
-          this.onFailureAnswer(leg, failure);
+          this.onErrorResponse(segment, failure);
         });
       },
       notRun: () => {
-        this.dropLeg(leg);
-        this.onNotRun(leg);
+        this.closeSegment(segment);
+        this.onNotRun(segment);
       },
       broken: (failure, reason) => {
         this.onClose(() => {
-          this.onBroken(leg, failure, reason);
+          this.onBroken(segment, failure, reason);
         });
       },
     };
   }
 
-  /** Judges how a leg's stream closed, unless a move decides what that means. */
-  private onClose(judge: () => void): void {
-    if (!this.moving.takesClose(judge)) {
-      judge();
+  /** Handles the end of a segment, unless a move in progress intercepts it. */
+  private onClose(handleClose: () => void): void {
+    if (!this.moveController.interceptClose(handleClose)) {
+      handleClose();
     }
   }
 
-  private onEvent(leg: streamLeg.StreamLeg, event: eventSplitter.WholeEvent): void {
-    const first = leg.events === 1;
-    this.delivery.hand(event, this.context.timers.now());
-    if (first) {
-      this.context.placement.changed();
+  private onEvent(segment: streamSegment.StreamSegment, event: eventSplitter.CompleteEvent): void {
+    const isFirst = segment.eventCount === 1;
+    this.delivery.deliver(event, this.context.timers.now());
+    if (isFirst) {
+      this.context.placement.scheduleReport();
     }
-    this.watchSilence();
+    this.startIdleTimer();
   }
 
-  /** Output tokens made so far. */
+  /** Number of output tokens delivered so far. */
   get produced(): number {
-    return this.delivery.events * (this.routed.service.engine?.tokensPerEvent ?? 1);
+    return this.delivery.eventCount * (this.routed.service.engine?.tokensPerEvent ?? 1);
   }
 
   /**
-   * A resumable stream does not wait for a silent upstream. That one is left only when another takes the stream:
-   * it may only pause, and a stream whose engine is at work must not break off because nobody else has room.
+   * Selects a replacement when the upstream of a resumable stream is idle for too long. The segment stays open until
+   * a replacement is found, so that a paused stream is not aborted when no other engine has free capacity.
    */
-  private watchSilence(): void {
-    this.cancelSilence();
-    const { leg } = this;
-    if (!this.resumable || leg === undefined) {
+  private startIdleTimer(): void {
+    this.cancelIdleTimer();
+    const { active: segment } = this;
+    if (!this.resumable || segment === undefined) {
       return;
     }
-    const patience = silencePatience.of(this.routed.route, leg.events > 0);
-    this.cancelSilence = this.context.timers.after(patience, () => {
-      if (this.leg === leg && !this.ended && !this.moving.isStopping && this.hasAttemptsLeft) {
-        this.silentSearch = { leg, events: leg.events };
-        this.finder.exclude(leg.instance.identity);
-        this.finder.find();
+    const timeout = idleTimeout.forRoute(this.routed.route, segment.eventCount > 0);
+    this.cancelIdleTimer = this.context.timers.after(timeout, () => {
+      if (this.active === segment && !this.ended && !this.moveController.isStopping && this.hasAttemptsLeft) {
+        this.idleSearch = { segment, eventCount: segment.eventCount };
+        this.selector.exclude(segment.instance.identity);
+        this.selector.select();
       }
     });
   }
 
   private get hasAttemptsLeft(): boolean {
-    return this.resumable && this.runs < this.routed.route.maximumAttempts;
+    return this.resumable && this.possibleRuns < this.routed.route.maximumAttempts;
   }
 
-  /** True where the stream may be sent once more, which draws on the shared budget. */
-  private mayResume(): boolean {
+  /** Takes one retry from the shared budget if the stream may be sent again; false otherwise. */
+  private takeResumption(): boolean {
     const { allowance, timers } = this.context;
-    const isQuarantined = exchangeContext.verdictOf(this.context, this.routed) === 'quarantined';
+    const isQuarantined = exchangeContext.quarantineVerdictOf(this.context, this.routed) === 'quarantined';
     return this.hasAttemptsLeft && !isQuarantined && allowance.take(this.routed.service.name, timers.now());
   }
 
-  private dropLeg(leg: streamLeg.StreamLeg, why?: 'silent'): void {
-    if (this.leg === leg) {
-      leg.close(why);
-      this.leg = undefined;
-      this.context.choice.ended(leg.instance.identity);
+  private closeSegment(segment: streamSegment.StreamSegment, reason?: 'silent'): void {
+    if (this.active === segment) {
+      segment.close(reason);
+      this.active = undefined;
+      this.context.choice.recordCompletion(segment.instance.identity);
     }
   }
 
-  private onEnd(leg: streamLeg.StreamLeg, rest: Uint8Array): void {
-    this.context.choice.succeeded(leg.instance.identity);
-    this.delivery.end(rest);
-    this.dropLeg(leg);
-    this.finish({ outcome: 'answered', upstream: leg.instance.identity });
+  private onEnd(segment: streamSegment.StreamSegment, remainder: Uint8Array): void {
+    this.context.choice.recordSuccess(segment.instance.identity);
+    this.delivery.end(remainder);
+    this.closeSegment(segment);
+    this.finish({ outcome: 'answered', upstream: segment.instance.identity });
   }
 
-  private onFailureAnswer(leg: streamLeg.StreamLeg, failure: streamLeg.FailureAnswer): void {
+  private onErrorResponse(segment: streamSegment.StreamSegment, response: streamSegment.ErrorResponse): void {
     const { choice, timers } = this.context;
-    const { head, body } = failure;
-    const { identity } = leg.instance;
-    this.dropLeg(leg);
-    choice.failed(identity, 'failure', timers.now());
-    if (head.status >= 500 && this.mayResume()) {
-      this.afterBreak(leg, 'upstreamFailed');
-    } else if (this.delivery.begun) {
-      this.breakOff(`the next upstream answered ${head.status}`);
+    const { head, body } = response;
+    const { identity } = segment.instance;
+    this.closeSegment(segment);
+    choice.recordFailure(identity, 'failure', timers.now());
+    if (head.status >= 500 && this.takeResumption()) {
+      this.resumeElsewhere(segment, 'upstreamFailed');
+    } else if (this.delivery.started) {
+      this.abort(`the next upstream responded with status ${head.status}`);
     } else {
       this.routed.caller.whole(head, body);
       this.finish({ outcome: 'answered', status: head.status, upstream: identity });
     }
   }
 
-  /** The upstream has certainly not run what was sent to it. */
-  private onNotRun(leg: streamLeg.StreamLeg): void {
+  /** Handles an upstream's statement that it did not run the request. */
+  private onNotRun(segment: streamSegment.StreamSegment): void {
     const { allowance, timers, log } = this.context;
     const { service, request } = this.routed;
-    this.finder.exclude(leg.instance.identity);
-    log.info('attemptNotRun', { request: request.identity, upstream: leg.instance.identity });
-    if (leg.copy !== undefined) {
-      this.afterCopyRefused(leg);
+    this.selector.exclude(segment.instance.identity);
+    log.info('attemptNotRun', { request: request.identity, upstream: segment.instance.identity });
+    if (segment.copy !== undefined) {
+      this.onCopyRejected(segment);
       return;
     }
-    this.runs -= 1;
+    this.possibleRuns -= 1;
     if (allowance.take(service.name, timers.now())) {
-      this.finder.find();
+      this.selector.select();
     } else {
-      this.noPlace('overloaded', 'no repeat is left', exchangeContext.NO_UPSTREAM_RETRY);
+      this.onNoUpstream(
+        'overloaded',
+        'the retry budget is exhausted',
+        exchangeContext.NO_UPSTREAM_RETRY_DELAY,
+      );
     }
   }
 
-  private onBroken(leg: streamLeg.StreamLeg, failure: types.ExchangeFailure, reason: string): void {
+  private onBroken(
+    segment: streamSegment.StreamSegment,
+    failure: types.ExchangeFailure,
+    reason: string,
+  ): void {
     const { choice, timers, log } = this.context;
-    this.dropLeg(leg);
+    this.closeSegment(segment);
     if (failure === 'quarantined') {
-      this.runs -= leg.copy === undefined ? 1 : 0;
-      this.endQuarantined();
+      this.possibleRuns -= segment.copy === undefined ? 1 : 0;
+      this.finishQuarantined();
       return;
     }
     log.info('streamBroken', {
       request: this.routed.request.identity,
-      content: exchangeContext.contentOf(this.routed),
-      upstream: leg.instance.identity,
+      content: exchangeContext.contentDigestOf(this.routed),
+      upstream: segment.instance.identity,
       failure,
       reason,
       lastEvent: this.delivery.lastEvent,
     });
     if (failure !== 'withheld') {
-      choice.failed(leg.instance.identity, failure === 'notSent' ? 'stall' : 'failure', timers.now());
+      choice.recordFailure(
+        segment.instance.identity,
+        failure === 'notSent' ? 'stall' : 'failure',
+        timers.now(),
+      );
     }
-    this.finder.exclude(leg.instance.identity);
-    const firstCopy = this.moving.takeFirstCopy();
+    this.selector.exclude(segment.instance.identity);
+    const firstCopy = this.moveController.takeFirstCopy();
     if (failure === 'notSent' || failure === 'withheld') {
-      this.onNotSent(leg);
+      this.onNotSent(segment);
     } else if (firstCopy !== undefined) {
-      this.goOnFromCopy(firstCopy);
-    } else if (this.mayResume()) {
-      this.afterBreak(leg, failure);
-    } else if (this.delivery.begun) {
-      this.breakOff(reason);
+      this.resumeFromCopy(firstCopy);
+    } else if (this.takeResumption()) {
+      this.resumeElsewhere(segment, failure);
+    } else if (this.delivery.started) {
+      this.abort(reason);
     } else {
-      this.refuse('outcomeUnknown', 'the upstream broke off before its first event');
+      this.refuse('outcomeUnknown', 'the upstream closed the stream before its first event');
     }
   }
 
-  private onNotSent(leg: streamLeg.StreamLeg): void {
-    if (leg.copy !== undefined) {
-      this.afterCopyRefused(leg);
+  private onNotSent(segment: streamSegment.StreamSegment): void {
+    if (segment.copy !== undefined) {
+      this.onCopyRejected(segment);
       return;
     }
-    this.runs -= 1;
-    this.finder.find();
+    this.possibleRuns -= 1;
+    this.selector.select();
   }
 
-  private afterBreak(leg: streamLeg.StreamLeg, cause: string): void {
-    this.finder.exclude(leg.instance.identity);
+  private resumeElsewhere(segment: streamSegment.StreamSegment, cause: string): void {
+    this.selector.exclude(segment.instance.identity);
     this.logResumption(cause);
-    this.finder.find();
+    this.selector.select();
   }
 
   private logResumption(cause: string): void {
@@ -370,66 +387,73 @@
       request: this.routed.request.identity,
       cause,
       lastEvent: this.delivery.lastEvent,
-      runs: this.runs,
+      runs: this.possibleRuns,
     });
   }
 
-  /** The engine with the copy did not take the run over: resumable streams begin elsewhere, others are lost. */
-  private afterCopyRefused(leg: streamLeg.StreamLeg): void {
-    if (this.mayResume()) {
-      this.afterBreak(leg, 'copyRefused');
+  /** Handles an engine's rejection of a resumption from a copy; only resumable streams can be sent elsewhere. */
+  private onCopyRejected(segment: streamSegment.StreamSegment): void {
+    if (this.takeResumption()) {
+      this.resumeElsewhere(segment, 'copyRefused');
     } else {
-      this.breakOff('the engine with the copy did not take it');
+      this.abort('the engine did not resume the stream from its memory copy');
     }
   }
 
-  /** Moves the run to another engine; `done` is called once the source is free for the next move. */
+  /** Moves the run to another engine; `done` is called when the source can start the next move. */
   move(targetIdentity: string, done: (outcome: placementTypes.MoveOutcome) => void): void {
     const target = this.context.instances.get(targetIdentity);
-    const { leg } = this;
-    if (this.ended || leg === undefined || leg.events === 0) {
+    const { active: segment } = this;
+    if (this.ended || segment === undefined || segment.eventCount === 0) {
       done('ended');
-    } else if (target === undefined || this.moving.isActive || this.isHeld(target)) {
+    } else if (target === undefined || this.moveController.isActive || this.isExcluded(target)) {
       done('failed');
     } else {
-      this.moving.start(leg.instance, target, done);
+      this.moveController.start(segment.instance, target, done);
     }
   }
 
-  /** Asked before the source stops: what goes on from a copy is lost where it is not sent. */
-  private isHeld(target: instanceView.Instance): boolean {
+  /** True if the target is temporarily excluded; checked before the source stops, since an unsent copy loses the run. */
+  private isExcluded(target: instanceView.Instance): boolean {
     const { rules, timers } = this.context;
     return rules.holdOf(target, timers.now()) !== undefined;
   }
 
-  /** The engine's new start holds nothing of this run, and a move off it has nothing to copy. */
+  /** Handles the restart of the engine, which has lost this run and cannot copy it. */
   onRestart(instance: string): void {
-    const { leg } = this;
-    if (!this.ended && leg?.instance.identity === instance) {
+    const { active: segment } = this;
+    if (!this.ended && segment?.instance.identity === instance) {
       this.onClose(() => {
-        this.onBroken(leg, 'broken', 'the upstream has started anew');
+        this.onBroken(segment, 'broken', 'the upstream has restarted');
       });
     }
   }
 
-  private goOnFromCopy(next: streamMove.Continuation): void {
+  private resumeFromCopy(resumePoint: streamMove.ResumePoint): void {
     if (this.ended) {
       return;
     }
-    if (this.leg !== undefined) {
-      this.dropLeg(this.leg);
+    if (this.active !== undefined) {
+      this.closeSegment(this.active);
     }
     this.moves += 1;
-    this.send(next.instance, next.copy);
-  }
-
-  private giveUp(): void {
-    if (this.delivery.begun) {
-      this.breakOff('the route allows no more time');
-    } else if (this.runs === 0) {
-      this.refuse('timeoutNotRun', 'no place came free in time', exchangeContext.NO_UPSTREAM_RETRY);
+    this.send(resumePoint.instance, resumePoint.copy);
+  }
+
+  private onDeadline(): void {
+    if (this.delivery.started) {
+      this.abort('the route allows no more time');
+    } else if (this.possibleRuns === 0) {
+      this.refuse(
+        'timeoutNotRun',
+        'no upstream became available before the deadline of the request',
+        exchangeContext.NO_UPSTREAM_RETRY_DELAY,
+      );
     } else {
-      this.refuse('timeoutUnknown', 'the upstream did not begin in time');
+      this.refuse(
+        'timeoutUnknown',
+        'the upstream did not start the stream before the deadline of the request',
+      );
     }
   }
 
@@ -438,8 +462,8 @@
     this.finish({ outcome: reason, reason: message });
   }
 
-  /** The caller must see that its answer is incomplete. */
-  private breakOff(reason: string): void {
+  /** Aborts the response so that the caller can detect that it is incomplete. */
+  private abort(reason: string): void {
     this.routed.caller.abort();
     this.finish({ outcome: 'interrupted', reason });
   }
@@ -450,22 +474,22 @@
     }
     this.ended = true;
     this.cancelDeadline();
-    this.finder.cancel();
-    this.cancelSilence();
+    this.selector.cancel();
+    this.cancelIdleTimer();
     this.cancelQuarantine();
-    this.moving.cancel();
-    if (this.leg !== undefined) {
-      this.dropLeg(this.leg);
+    this.moveController.cancel();
+    if (this.active !== undefined) {
+      this.closeSegment(this.active);
     }
-    if (this.facts !== undefined) {
-      const { facts, produced } = this;
+    if (this.attributes !== undefined) {
+      const { attributes: facts, produced } = this;
       const finished =
-        outcome.outcome === 'answered' && this.delivery.begun ? { facts, produced } : undefined;
-      this.context.placement.closed(this.routed.request.identity, finished);
+        outcome.outcome === 'answered' && this.delivery.started ? { facts, produced } : undefined;
+      this.context.placement.removeGeneration(this.routed.request.identity, finished);
     }
-    exchangeContext.logEnd(this.context, this.routed, {
+    exchangeContext.logRequestEnd(this.context, this.routed, {
       ...outcome,
-      ...streamStory.of(this.routed, this.facts, this.delivery, this),
+      ...streamLogSummary.fieldsFor(this.routed, this.attributes, this.delivery, this),
     });
   }
 }
--- a/packages/kumquatfront/src/relay/streamStory.ts
+++ b/packages/kumquatfront/src/relay/streamLogSummary.ts
@@ -1,37 +1,37 @@
 /**
- * What the last log line of a stream tells besides its outcome: what decided where it ran, and how its caller saw it.
+ * Log summary of a finished stream: its placement attributes and the timing that its caller observed.
  */
 import type * as ports from '../kernel/ports.js';
 import type * as placementTypes from '../placement/types.js';
 import type * as exchangeContext from './exchangeContext.js';
 import type * as streamDelivery from './streamDelivery.js';
 
-/** What its exchange counted. */
+/** Counters of a stream exchange. */
 export interface StreamCounts {
-  /** Output tokens. */
+  /** Number of output tokens. */
   readonly produced: number;
-  /** Upstreams that were sent it. */
+  /** Number of sends to upstreams. */
   readonly sends: number;
-  /** Times that it went on from a copy. */
+  /** Number of resumptions from a memory copy. */
   readonly moves: number;
 }
 
 /**
- * The fields of the line.
+ * Log fields that summarize a stream.
  *
  * @param routed - the request
- * @param facts - what the coordinator was told of it; undefined where nothing is placed
- * @param delivery - what its caller got
- * @param counts - what its exchange counted
- * @returns the fields
+ * @param attributes - its placement attributes; undefined if it needs no placement
+ * @param delivery - the caller side of the stream
+ * @param counts - the counters of its exchange
+ * @returns the log fields
  * @example
  * ```ts
  * log.info('requestEnded', { outcome, ...streamStory.of(routed, facts, delivery, counts) });
  * ```
  */
-export function of(
+export function fieldsFor(
   routed: exchangeContext.RoutedRequest,
-  facts: placementTypes.GenerationFacts | undefined,
+  attributes: placementTypes.GenerationFacts | undefined,
   delivery: streamDelivery.StreamDelivery,
   counts: StreamCounts,
 ): ports.LogFields {
@@ -39,11 +39,11 @@
   const { produced, sends, moves } = counts;
   const { lastEvent, firstEventAt } = delivery;
   return {
-    rank: facts?.rank,
+    rank: attributes?.rank,
     patience,
-    promptTokens: facts?.promptTokens,
-    outputLimit: facts?.outputLimit,
-    lengthHint: facts?.lengthHint,
+    promptTokens: attributes?.promptTokens,
+    outputLimit: attributes?.outputLimit,
+    lengthHint: attributes?.lengthHint,
     produced,
     sends,
     moves,
--- a/packages/kumquatfront/src/relay/streamMove.ts
+++ b/packages/kumquatfront/src/relay/streamMove.ts
@@ -1,6 +1,6 @@
 /**
- * The move of one stream's generation as its exchange sees it: what the closing of the source's stream means
- * while copies are made, and when and where the stream goes on.
+ * Controls the moves of one stream's generation: interprets the end of the source's stream while copies are in
+ * progress, and decides where and when the stream resumes.
  */
 import type * as instanceView from '../instances/instanceView.js';
 import type * as ports from '../kernel/ports.js';
@@ -9,23 +9,23 @@
 import * as generationMove from './generationMove.js';
 import type * as types from './types.js';
 
-/** After the final copy the source closes its stream by itself; a silent connection must not hold up the rest. */
-const SOURCE_CLOSES_WITHIN: ports.Milliseconds = 60;
+/** Time for the source to close its stream after the final copy, so that an idle connection cannot block the move. */
+const SOURCE_CLOSE_TIMEOUT: ports.Milliseconds = 60;
 
-/** Where a stream goes on. */
-export interface Continuation {
+/** The upstream and memory copy from which a stream resumes. */
+export interface ResumePoint {
   readonly instance: instanceView.Instance;
   readonly copy: types.MemoryCopy;
 }
 
-/** What the move asks of its exchange. */
+/** Services of the exchange that moves depend on. */
 export interface StreamMoveHost {
   readonly request: string;
   readonly upstreams: types.UpstreamPort;
   readonly timers: timerService.TimerService;
   readonly log: ports.Log;
-  /** Drops the source and goes on from a copy. */
-  readonly goOn: (next: Continuation) => void;
+  /** Closes the source's segment and resumes from a copy. */
+  readonly resumeFrom: (next: ResumePoint) => void;
 }
 
 type MoveDone = (outcome: placementTypes.MoveOutcome) => void;
@@ -35,26 +35,26 @@
   private readonly host: StreamMoveHost;
   private active: generationMove.GenerationMove | undefined;
   private source: instanceView.Instance | undefined;
-  /** Set where the source's stream closed while its final copy was under way. */
-  private heldClose: (() => void) | undefined;
-  /** Set while the last events of a source that has stopped are awaited. */
-  private awaited: (() => void) | undefined;
+  /** Handler of a close that occurred during the final copy. */
+  private deferredClose: (() => void) | undefined;
+  /** Resumes the stream; set while the last events of a stopped source are pending. */
+  private resumePending: (() => void) | undefined;
 
   constructor(host: StreamMoveHost) {
     this.host = host;
   }
 
-  /** True while a move is under way. */
+  /** True while a move is in progress. */
   get isActive(): boolean {
-    return this.active !== undefined || this.awaited !== undefined;
+    return this.active !== undefined || this.resumePending !== undefined;
   }
 
-  /** True while the source has been asked to stop and has not answered. */
+  /** True while the final copy is in progress. */
   get isStopping(): boolean {
     return this.active?.stopping === true;
   }
 
-  /** Starts a move; `done` is called once the source is free for the next one. */
+  /** Starts a move; `done` is called when the source can start the next one. */
   start(source: instanceView.Instance, target: instanceView.Instance, done: MoveDone): void {
     const { upstreams, request, timers, log } = this.host;
     const move = new generationMove.GenerationMove(upstreams, source, target, request);
@@ -70,24 +70,24 @@
   }
 
   /**
-   * Called when the source's stream closes, whole or not. True where the move decides what that means; `judge` is
-   * called later where it turns out to mean what it seems to.
+   * Intercepts the end of the source's stream. Returns true if the move handles it; `handleClose` is then called later
+   * if the move was not the cause.
    */
-  takesClose(judge: () => void): boolean {
-    if (this.awaited !== undefined) {
-      this.awaited();
+  interceptClose(handleClose: () => void): boolean {
+    if (this.resumePending !== undefined) {
+      this.resumePending();
       return true;
     }
     if (this.isStopping) {
-      // The source closes its stream for the final copy; whether this was its true end is known with the answer.
-      this.heldClose = judge;
+      // The source closes its stream for the final copy; only the copy result shows whether the generation ended.
+      this.deferredClose = handleClose;
       return true;
     }
     return false;
   }
 
-  /** The first copy, where the source is gone between its two: it holds all but the last moments. */
-  takeFirstCopy(): Continuation | undefined {
+  /** Takes the first copy for a stream whose source failed before the final copy; undefined if there is none. */
+  takeFirstCopy(): ResumePoint | undefined {
     const { active, source } = this;
     if (active?.handle === undefined || source === undefined) {
       return undefined;
@@ -103,52 +103,52 @@
     done: MoveDone,
   ): void {
     if (this.active !== move) {
-      // The stream ended, or broke between the copies and has gone on from the first one.
+      // The stream has ended, or has already resumed from the first copy.
       done('moved');
       return;
     }
-    const closed = this.heldClose;
-    this.heldClose = undefined;
+    const deferredClose = this.deferredClose;
+    this.deferredClose = undefined;
     if (result.state === 'unmoved') {
-      // The source may have stopped although its answer was lost; then the first copy is still of use.
-      if (result.ended || closed === undefined) {
+      // The source may have stopped even if its response was lost; the first copy is then kept as a fallback.
+      if (result.ended || deferredClose === undefined) {
         this.active = undefined;
       }
       done(result.ended ? 'ended' : 'failed');
-      closed?.();
+      deferredClose?.();
       return;
     }
     this.active = undefined;
     done(result.at === 'target' ? 'moved' : 'failed');
-    const next: Continuation = {
+    const resumePoint: ResumePoint = {
       instance: result.at === 'target' ? move.target : source,
       copy: { address: source.address, handle: result.handle },
     };
-    if (closed === undefined) {
-      this.awaitLastEvents(next);
+    if (deferredClose === undefined) {
+      this.awaitLastEvents(resumePoint);
     } else {
-      this.host.goOn(next);
+      this.host.resumeFrom(resumePoint);
     }
   }
 
-  /** What the source made last is still on its way; its stream closes behind it. */
-  private awaitLastEvents(next: Continuation): void {
-    const goOn = (): void => {
-      if (this.awaited === goOn) {
+  /** Waits for the source's remaining events, which end with the close of its stream. */
+  private awaitLastEvents(resumePoint: ResumePoint): void {
+    const resume = (): void => {
+      if (this.resumePending === resume) {
         cancelWait();
-        this.awaited = undefined;
-        this.host.goOn(next);
+        this.resumePending = undefined;
+        this.host.resumeFrom(resumePoint);
       }
     };
-    const cancelWait = this.host.timers.after(SOURCE_CLOSES_WITHIN, goOn);
-    this.awaited = goOn;
+    const cancelWait = this.host.timers.after(SOURCE_CLOSE_TIMEOUT, resume);
+    this.resumePending = resume;
   }
 
-  /** The stream has ended: copies that nobody will use are freed. */
+  /** Cancels the current move and releases its copies. */
   cancel(): void {
     this.active?.cancel();
     this.active = undefined;
-    this.heldClose = undefined;
-    this.awaited = undefined;
+    this.deferredClose = undefined;
+    this.resumePending = undefined;
   }
 }
--- a/packages/kumquatfront/src/relay/trafficRelay.ts
+++ b/packages/kumquatfront/src/relay/trafficRelay.ts
@@ -1,6 +1,6 @@
 /**
- * An entry's front for relayed requests: finds route, client account and service, and starts the exchange.
- * Whatever cannot be served is refused here at once.
+ * Entry point for relayed requests: resolves route, client account and service, and starts the exchange.
+ * Requests that cannot be served are refused at once.
  */
 import type * as ports from '../kernel/ports.js';
 import * as residency from '../traffic/residency.js';
@@ -10,58 +10,57 @@
 import * as quarantine from '../quarantine/quarantine.js';
 import type * as exchangeContext from './exchangeContext.js';
 import * as plainExchange from './plainExchange.js';
-import * as startingHold from './startingHold.js';
+import * as startupQueue from './startupQueue.js';
 import * as streamExchange from './streamExchange.js';
 import type * as types from './types.js';
 
 /**
- * Time to come back where the entry has no configuration yet. Where only this entry has started it has one within
- * a tenth of a second and hardly refuses; where everything has, an election and the first announcements come first:
- * 1.2 to 1.6 s in runs with all processes killed. Sooner, a caller would use up its last try for another refusal.
+ * Retry delay while the entry has no configuration. It covers a full restart with a leader election, so that callers
+ * do not use up their retries on further refusals.
  */
-const NO_CONFIGURATION_RETRY: ports.Milliseconds = 1_500;
+const NO_CONFIGURATION_RETRY_DELAY: ports.Milliseconds = 1_500;
 
-/** Time to come back, to another entry, from one that is stopping. */
-const DRAINING_RETRY: ports.Milliseconds = 20;
+/** Retry delay of an entry that is draining; another entry can serve the retry. */
+const DRAINING_RETRY_DELAY: ports.Milliseconds = 20;
 
-/** What the relay is made from. */
+/** Dependencies of the relay. */
 export interface TrafficRelayOptions {
   readonly context: exchangeContext.ExchangeContext;
   readonly random: ports.Random;
   /** Region of each data centre. */
   readonly regions: residency.Regions;
   readonly routes: () => routeTable.RouteTable | undefined;
-  /** True once this entry has been told to stop. */
+  /** True while the entry drains before it stops. */
   readonly draining: () => boolean;
 }
 
-interface Admitted {
+interface AdmittedRequest {
   readonly route: trafficTypes.Route;
   readonly account?: trafficTypes.Account;
 }
 
-/** The relay; see the module comment. */
+/** Request relay of one entry; see the module comment. */
 export class TrafficRelay {
   private readonly options: TrafficRelayOptions;
-  private readonly starting: startingHold.StartingHold;
+  private readonly startupQueue: startupQueue.StartupQueue;
 
   constructor(options: TrafficRelayOptions) {
     this.options = options;
-    this.starting = new startingHold.StartingHold(options.context.timers);
+    this.startupQueue = new startupQueue.StartupQueue(options.context.timers);
   }
 
-  /** Called once there is a configuration: serves what came before it. */
+  /** Serves the queued requests once a configuration is available. */
   configured(): void {
-    this.starting.release((request, caller) => {
+    this.startupQueue.releaseAll((request, caller) => {
       this.handle(request, caller);
     });
   }
 
-  /** Serves one request. */
+  /** Relays one request. */
   handle(request: types.TrafficRequest, caller: types.CallerPort): void {
     const routes = this.options.routes();
     if (routes === undefined) {
-      this.holdOrRefuse(request, caller);
+      this.queueOrRefuse(request, caller);
       return;
     }
     const admitted = this.admit(routes, request, caller);
@@ -75,10 +74,10 @@
       this.refuse(request, caller, { reason: 'noRoute', message });
       return;
     }
-    // A long generation cannot end before this process must: elsewhere it can, and it has not begun here.
+    // A generation may outlast the draining entry; it has not started and can run through another entry.
     if (this.options.draining() && service.engine !== undefined) {
-      const message = 'this entry is stopping';
-      this.refuse(request, caller, { reason: 'draining', message, retryAfter: DRAINING_RETRY });
+      const message = 'this entry is draining before it stops';
+      this.refuse(request, caller, { reason: 'draining', message, retryAfter: DRAINING_RETRY_DELAY });
       return;
     }
     const content = contentDigest.of(request, account?.name ?? '');
@@ -94,27 +93,27 @@
       service,
       account: account?.name,
       accountPriority: account?.priority,
-      rank: account?.priority ?? route.priority,
+      upstreamPriority: account?.priority ?? route.priority,
       dataCentres: residency.dataCentresIn(residency.regionsOf(route, account), this.options.regions),
-      answerBy: request.arrivedAt + limit,
+      deadline: request.arrivedAt + limit,
       version: routes.version,
     });
   }
 
-  /** No time to come back is told: whoever comes back with the same content is turned away again. */
+  /** Refuses without a retry delay, because a retry with the same content would be refused again. */
   private refuseQuarantined(request: types.TrafficRequest, caller: types.CallerPort, content: string): void {
-    const { log, quarantine: held } = this.options.context;
-    log.info('requestQuarantined', { request: request.identity, ...held.describe(content) });
+    const { log, quarantine: quarantineState } = this.options.context;
+    log.info('requestQuarantined', { request: request.identity, ...quarantineState.describe(content) });
     this.refuse(request, caller, { reason: 'quarantined', message: quarantine.QUARANTINED });
   }
 
-  private holdOrRefuse(request: types.TrafficRequest, caller: types.CallerPort): void {
+  private queueOrRefuse(request: types.TrafficRequest, caller: types.CallerPort): void {
     const refuse = (): void => {
       const message = 'this entry has no configuration yet';
-      const retryAfter = NO_CONFIGURATION_RETRY;
+      const retryAfter = NO_CONFIGURATION_RETRY_DELAY;
       this.refuse(request, caller, { reason: 'noConfiguration', message, retryAfter });
     };
-    if (this.options.draining() || !this.starting.hold(request, caller, refuse)) {
+    if (this.options.draining() || !this.startupQueue.enqueue(request, caller, refuse)) {
       refuse();
       return;
     }
@@ -134,7 +133,7 @@
     routes: routeTable.RouteTable,
     request: types.TrafficRequest,
     caller: types.CallerPort,
-  ): Admitted | undefined {
+  ): AdmittedRequest | undefined {
     const path = request.path.split('?', 1)[0] ?? '';
     const route = routes.routeOf(request.host, path);
     if (route === undefined) {
--- a/packages/kumquatfront/src/relay/types.ts
+++ b/packages/kumquatfront/src/relay/types.ts
@@ -1,121 +1,125 @@
 /**
- * Requests that entries relay as they are: what callers ask, what upstreams are sent, and the ports between.
- * Times are milliseconds.
+ * Types of the request relay: requests of callers, calls to upstreams, and the ports to both.
+ * Times are in milliseconds.
  */
 import type * as backPressureTypes from '../backPressure/types.js';
 import type * as instanceView from '../instances/instanceView.js';
 import type * as ports from '../kernel/ports.js';
 
-/** A header as it was received. */
+/** An HTTP header as received. */
 export type Header = readonly [name: string, value: string];
 
-/** What a caller says of a generation that it asks for; sizes are tokens. */
+/** Size hints that a caller sends with a generation request, in tokens. */
 export interface GenerationDemand {
   readonly promptTokens: number;
   readonly outputLimit: number;
-  /** 0 where the caller gave none. */
+  /** Expected output length; 0 if the caller sent none. */
   readonly lengthHint: number;
-  /** Names of the prompt's parts, as the caller gave them; empty where it gave none. */
+  /** Identifiers of the prompt's segments as sent by the caller; empty if it sent none. */
   readonly prompt: string;
 }
 
-/** One attempt of a caller, read in whole. */
+/** One request of a caller, with its body fully read. */
 export interface TrafficRequest {
-  /** New for each attempt of a caller. */
+  /** Unique for each attempt of a caller. */
   readonly identity: string;
   readonly host: string;
-  /** Path with its query, as it was sent. */
+  /** Path and query string as received. */
   readonly path: string;
   readonly method: string;
-  /** Headers that go to the upstream unchanged. */
+  /** Headers that are forwarded to the upstream unchanged. */
   readonly headers: readonly Header[];
   readonly body: Uint8Array;
-  /** Key of a client account; undefined where none was sent. */
+  /** API key of the client account; undefined if none was sent. */
   readonly key?: string;
-  /** How long the caller waits, from `arrivedAt`; undefined where it did not say. */
+  /** Timeout of the caller, counted from `arrivedAt`; undefined if it sent none. */
   readonly patience?: ports.Milliseconds;
   readonly arrivedAt: ports.Milliseconds;
-  /** Last event of a stream that the caller has; undefined where it begins. */
+  /** Identifier of the last event that the caller received; undefined for a new stream. */
   readonly lastEvent?: string;
   readonly generation?: GenerationDemand;
 }
 
-/** A copy of a generation's memory from which it may go on. */
+/** A copy of a generation's memory from which another engine can resume it. */
 export interface MemoryCopy {
-  /** Address of the engine that made the copy: `ip:port`. */
+  /** Address of the engine that created the copy, as `ip:port`. */
   readonly address: string;
   readonly handle: string;
 }
 
-/** One request to one upstream. */
+/** One attempt to send a request to an upstream. */
 export interface UpstreamCall {
   readonly request: TrafficRequest;
   readonly instance: instanceView.Instance;
   readonly timeLeft: ports.Milliseconds;
-  /** Name of the client account; undefined where keys are not asked for. */
+  /** Name of the client account; undefined if no API key is required. */
   readonly account?: string;
-  /** 0 is the most urgent; undefined for what is no generation. */
+  /** 0 is the most urgent; undefined for requests other than generations. */
   readonly urgency?: number;
   readonly lastEvent?: string;
   readonly copy?: MemoryCopy;
-  /** Data centres in which the request may run; undefined where any will do. */
+  /** Data centres in which the request may run; undefined if it may run in any. */
   readonly dataCentres?: readonly string[];
 }
 
-/** The beginning of an upstream's answer. */
+/** Status, headers and signals of an upstream's response. */
 export interface UpstreamHead {
   readonly status: number;
-  /** True where the upstream states that it did not run the request. */
+  /** True if the upstream states that it did not run the request. */
   readonly notRun: boolean;
-  /** True where the answer carries the identity of the request that was sent, or none. */
+  /** True if the response carries the identity of this request or no identity. */
   readonly belongs: boolean;
-  /** True where the answer is an upstream's own, signed as such. */
+  /** True if the response carries a valid signature of an upstream. */
   readonly signed: boolean;
-  /** Headers for the caller. */
+  /** Headers that are forwarded to the caller. */
   readonly headers: readonly Header[];
-  /** Requests running and waiting at the upstream, where it says so. */
+  /** Numbers of running and queued requests, if the upstream reports them. */
   readonly load?: { readonly running: number; readonly waiting: number };
-  /** What it says about being sent more; undefined where the answer says nothing about the upstream that was meant. */
+  /** Back-pressure signals; undefined if the response carries none for the addressed upstream. */
   readonly signals?: backPressureTypes.UpstreamSignals;
 }
 
 /**
- * How an exchange ended without a whole answer; `notSent` means that the upstream cannot have seen it, `quarantined`
- * that it was not sent because upstreams end under its content, `withheld` that it was not sent because its upstream is
- * to get nothing at this moment.
+ * Why an exchange ended without a complete response:
+ *
+ * - `notSent`: the upstream cannot have received the request.
+ * - `broken`: the connection failed after the request was sent.
+ * - `garbled`: the response was invalid.
+ * - `quarantined`: not sent, because its content crashes upstreams.
+ * - `withheld`: not sent, because the upstream is temporarily excluded.
  */
 export type ExchangeFailure = 'notSent' | 'broken' | 'garbled' | 'quarantined' | 'withheld';
 
-/** Hears of one exchange. `end` or `failed` is called last, once, unless the exchange is cancelled. */
+/** Callbacks of one exchange. Unless it is cancelled, either `end` or `failed` is called once, as the last. */
 export interface ExchangeListener {
   readonly head: (head: UpstreamHead) => void;
   readonly data: (bytes: Uint8Array) => void;
-  /** The answer is whole. */
+  /** The response is complete. */
   readonly end: () => void;
   readonly failed: (failure: ExchangeFailure, reason: string) => void;
 }
 
-/** Cancels an exchange: its connection closes at once. `silent` says that its upstream had stopped answering. */
+/** Cancels an exchange and closes its connection. `silent` states that the upstream was unresponsive. */
 export type CancelExchange = (why?: 'silent') => void;
 
-/** What a try to connect to an upstream shows; `unknown` where nothing comes back, as behind a cut. */
+/** Result of a connection attempt; `unknown` if there is no reply, as in a network partition. */
 export type ConnectionSign = 'accepted' | 'refused' | 'unknown';
 
-/** How a copy of a generation's memory ended. */
+/** Result of copying a generation's memory. */
 export type CopyResult =
   | { readonly state: 'copied'; readonly handle: string }
-  /** No such run: it has ended, or not begun. */
+  /** The source has no such run: it has finished or not started. */
   | { readonly state: 'noRun' }
-  /** The copy was not made; the handle is there where the source stopped and keeps the memory. */
+  /** The target lacks free memory; `handle` is set if the source has stopped and retains its memory. */
   | { readonly state: 'noRoom'; readonly handle?: string }
   | { readonly state: 'failed'; readonly reason: string };
 
-/** Speaks to upstreams. */
+/** Outbound port to upstreams. */
 export interface UpstreamPort {
   readonly send: (call: UpstreamCall, listener: ExchangeListener) => CancelExchange;
-  /** Tries whether anything listens at an address, `ip:port`; sends nothing. */
+  /** Tests whether an address (`ip:port`) accepts connections, without sending data. */
   readonly check: (address: string, done: (sign: ConnectionSign) => void) => void;
-  /** Copies a generation's memory; with `stop` the source ends its run first. */
+  /** Copies a generation's memory; with `stop`, the source stops its run first. */
   readonly copyMemory: (
     source: instanceView.Instance,
     target: instanceView.Instance,
@@ -123,11 +127,11 @@
     stop: boolean,
     done: (result: CopyResult) => void,
   ) => void;
-  /** Frees a copy that nobody will use. */
+  /** Releases a copy that is no longer needed. */
   readonly dropCopy: (copy: MemoryCopy) => void;
 }
 
-/** Why a request is refused, or given up. */
+/** Why a request was refused or ended without a response. */
 export type RefusalReason =
   | 'noConfiguration'
   | 'noRoute'
@@ -140,26 +144,26 @@
   | 'timeoutUnknown'
   | 'outcomeUnknown';
 
-/** A refusal. All reasons but `timeoutUnknown` and `outcomeUnknown` mean that the request has not run. */
+/** A refusal. Every reason except `timeoutUnknown` and `outcomeUnknown` guarantees that the request did not run. */
 export interface Refusal {
   readonly reason: RefusalReason;
   readonly message: string;
-  /** When to come back; undefined where coming back does not help. */
+  /** Delay before a retry; undefined if a retry cannot succeed. */
   readonly retryAfter?: ports.Milliseconds;
 }
 
-/** Answers a caller. Exactly one of `refuse`, `whole` or `begin` is called first. */
+/** Sends the response to a caller. Exactly one of `refuse`, `respond` or `begin` is called first. */
 export interface CallerPort {
   readonly refuse: (refusal: Refusal) => void;
-  /** Hands a whole answer over. */
+  /** Sends a complete response. */
   readonly whole: (head: UpstreamHead, body: Uint8Array) => void;
-  /** Begins a stream. */
+  /** Starts a streamed response. */
   readonly begin: (head: UpstreamHead) => void;
   readonly write: (bytes: Uint8Array) => void;
-  /** Ends a stream as complete. */
+  /** Completes a streamed response. */
   readonly end: () => void;
-  /** Breaks a stream off so that the caller sees that it is incomplete. */
+  /** Aborts a streamed response so that the caller can detect that it is incomplete. */
   readonly abort: () => void;
-  /** Calls back when the caller went away before its answer was whole. */
+  /** Registers a callback for a caller that disconnects before its response is complete. */
   readonly onGone: (gone: () => void) => void;
 }
--- /dev/null
+++ b/packages/kumquatfront/src/relay/upstreamSelector.ts
@@ -0,0 +1,132 @@
+/**
+ * Selects an upstream for one stream: through the coordinator if the service has engines, otherwise, or if no
+ * coordinator responds, with the local load balancer.
+ */
+import type * as instanceView from '../instances/instanceView.js';
+import type * as ports from '../kernel/ports.js';
+import type * as placementTypes from '../placement/types.js';
+import * as waitingRules from '../placement/waitingRules.js';
+import * as exchangeContext from './exchangeContext.js';
+import * as generationFacts from './generationFacts.js';
+import type * as placementClient from './placementClient.js';
+import type * as types from './types.js';
+
+/** Callbacks for the result of a selection. */
+export interface UpstreamSelectionListener {
+  readonly selected: (instance: instanceView.Instance) => void;
+  readonly unavailable: (
+    reason: types.RefusalReason,
+    message: string,
+    retryAfter: ports.Milliseconds,
+  ) => void;
+}
+
+/** Upstream selector of one stream; see the module comment. */
+export class UpstreamSelector {
+  /** Upstreams that must not be selected again. */
+  private readonly excludedUpstreams = new Set<string>();
+  private readonly context: exchangeContext.ExchangeContext;
+  private readonly routed: exchangeContext.RoutedRequest;
+  private readonly attributes: placementTypes.GenerationFacts | undefined;
+  private readonly listener: UpstreamSelectionListener;
+  private cancelPlacement: ports.Cancel = () => undefined;
+  private cancelled = false;
+
+  constructor(
+    context: exchangeContext.ExchangeContext,
+    routed: exchangeContext.RoutedRequest,
+    facts: placementTypes.GenerationFacts | undefined,
+    listener: UpstreamSelectionListener,
+  ) {
+    this.context = context;
+    this.routed = routed;
+    this.attributes = facts;
+    this.listener = listener;
+  }
+
+  /** Excludes an upstream from later selections. */
+  exclude(identity: string): void {
+    this.excludedUpstreams.add(identity);
+  }
+
+  /** Starts one selection and reports its result to the listener. */
+  select(): void {
+    const { placement, timers, choice, rules } = this.context;
+    const { deadline, request, route } = this.routed;
+    const candidates = exchangeContext.candidatesOf(this.context, this.routed);
+    if (this.attributes === undefined || candidates.length === 0) {
+      this.selectLocally();
+      return;
+    }
+    const now = timers.now();
+    const temporarilyExcluded = candidates.filter((instance) => rules.holdOf(instance, now) !== undefined);
+    if (temporarilyExcluded.length === candidates.length) {
+      this.reportNoUpstream();
+      return;
+    }
+    const { objective } = route;
+    const totalTime = deadline - request.arrivedAt;
+    const waitUntil =
+      request.arrivedAt + waitingRules.longestWait(objective, totalTime, this.attributes.rank);
+    const ejected = choice.ejectedOf(candidates, now);
+    const placementRequest: placementClient.PlacementParameters = {
+      facts: this.attributes,
+      excluded: [
+        ...this.excludedUpstreams,
+        ...ejected,
+        ...temporarilyExcluded.map((instance) => instance.identity),
+      ],
+      likeness: generationFacts.retryFingerprintOf(this.routed),
+      objective,
+      objectiveLeft: request.arrivedAt + objective - now,
+      patience: Math.max(0, waitUntil - now),
+    };
+    this.cancelPlacement = placement.place(placementRequest, (outcome) => {
+      this.onPlacementOutcome(outcome);
+    });
+  }
+
+  private onPlacementOutcome(outcome: placementClient.PlacementOutcome): void {
+    if (this.cancelled) {
+      return;
+    }
+    if (outcome.state === 'alone') {
+      this.selectLocally();
+    } else if (outcome.state === 'refused') {
+      this.listener.unavailable('overloaded', outcome.reason, outcome.retryAfter);
+    } else {
+      const instance = this.context.instances.get(outcome.instance);
+      if (instance === undefined || this.excludedUpstreams.has(instance.identity)) {
+        this.selectLocally();
+      } else {
+        this.listener.selected(instance);
+      }
+    }
+  }
+
+  private selectLocally(): void {
+    const { choice, timers } = this.context;
+    const candidates = exchangeContext.candidatesOf(this.context, this.routed);
+    const instance = choice.choose(candidates, this.excludedUpstreams, timers.now());
+    if (instance === undefined) {
+      this.reportNoUpstream();
+    } else {
+      this.listener.selected(instance);
+    }
+  }
+
+  private reportNoUpstream(): void {
+    const { reason, message, retryAfter } = exchangeContext.noUpstreamRefusal(
+      this.context,
+      this.routed,
+      'no eligible upstream is left',
+    );
+    this.listener.unavailable(reason, message, retryAfter);
+  }
+
+  /** Cancels the selection and withdraws a pending placement request. */
+  cancel(): void {
+    this.cancelled = true;
+    this.cancelPlacement();
+  }
+}
--- a/packages/scenarios/src/scripts/backPressureSafeguards.ts
+++ b/packages/scenarios/src/scripts/backPressureSafeguards.ts
@@ -77,15 +77,15 @@
   },
   {
     name: 'a coordinator is told which engines this entry may send nothing',
-    file: 'relay/placeFinder.js',
-    find: '...held.map((instance) => instance.identity)',
+    file: 'relay/upstreamSelector.js',
+    find: '...temporarilyExcluded.map((instance) => instance.identity)',
     replace: '',
     scenario: 'spec:backPressure/sendRules',
   },
   {
     name: 'no generation is moved to an engine that may be sent nothing',
     file: 'relay/streamExchange.js',
-    find: ' || this.isHeld(target)',
+    find: ' || this.isExcluded(target)',
     replace: '',
     scenario: 'spec:backPressure/sendRules',
   },
--- a/packages/scenarios/src/scripts/quarantineSafeguards.ts
+++ b/packages/scenarios/src/scripts/quarantineSafeguards.ts
@@ -28,7 +28,7 @@
   {
     name: 'a run that is under way at the third end is cancelled',
     file: 'relay/streamExchange.js',
-    find: 'if (this.leg === undefined || this.leg.events === 0) {',
+    find: 'if (this.active === undefined || this.active.eventCount === 0) {',
     replace: 'if (false) {',
     scenario: SYSTEM,
   },
--- a/packages/scenarios/src/scripts/relaySafeguards.ts
+++ b/packages/scenarios/src/scripts/relaySafeguards.ts
@@ -4,7 +4,7 @@
 import type * as types from './types.js';
 
 const RELAY = 'spec:relay/streamExchange';
-const PLAIN = 'spec:relay/plainExchange';
+const PLAIN = 'spec:relay/bufferedExchange';
 const INSTANCES = 'spec:instances/instances';
 const RESTART = 'spec:instances/restart';
 const CONTROL = 'spec:trafficControl/trafficControl';
@@ -16,8 +16,8 @@
   {
     name: 'the last events of a stopped source are awaited',
     file: 'relay/streamMove.js',
-    find: 'this.awaitLastEvents(next);',
-    replace: 'this.host.goOn(next);',
+    find: 'this.awaitLastEvents(resumePoint);',
+    replace: 'this.host.resumeFrom(resumePoint);',
     scenario: RELAY,
   },
   {
@@ -37,7 +37,7 @@
   {
     name: 'an event is handed over once',
     file: 'relay/streamDelivery.js',
-    find: 'if (event.identity !== undefined && !this.isNew(event.identity)) {',
+    find: 'if (event.identity !== undefined && !this.isNewEvent(event.identity)) {',
     replace: 'if (false) {',
     scenario: RELAY,
   },
@@ -50,21 +50,21 @@
   },
   {
     name: 'a promising status needs the upstream’s word',
-    file: 'relay/answerRules.js',
-    find: 'PROMISING.has(head.status) && !repeatable',
+    file: 'relay/responseClassification.js',
+    find: 'RETRYABLE_STATUSES.has(head.status) && !repeatable',
     replace: 'false',
     scenario: PLAIN,
   },
   {
     name: 'an answer echoes its request',
-    file: 'relay/answerRules.js',
+    file: 'relay/responseClassification.js',
     find: '!head.belongs || head.status < 200',
     replace: 'false',
     scenario: PLAIN,
   },
   {
     name: 'a success is signed',
-    file: 'relay/answerRules.js',
+    file: 'relay/responseClassification.js',
     find: 'success && !head.signed',
     replace: 'false',
     scenario: PLAIN,
@@ -72,7 +72,7 @@
   {
     name: 'repeats draw on a budget',
     file: 'relay/retryAllowance.js',
-    find: 'if (counts.repeats.length + counts.dither >= allowed) {',
+    find: 'if (counts.retries.length + counts.dither >= allowed) {',
     replace: 'if (false) {',
     scenario: PLAIN,
   },
@@ -142,7 +142,7 @@
   {
     name: 'a stream ends with the start that made it',
     file: 'relay/streamExchange.js',
-    find: 'if (!this.ended && leg?.instance.identity === instance) {',
+    find: 'if (!this.ended && segment?.instance.identity === instance) {',
     replace: 'if (false) {',
     scenario: 'spec:relay/streamExchange',
   },
@@ -317,23 +317,23 @@
   {
     name: 'shares of the repeats are rounded at random',
     file: 'relay/retryAllowance.js',
-    find: 'counts.repeats.length + counts.dither >= allowed',
-    replace: 'counts.repeats.length + 1 > allowed',
-    scenario: 'spec:relay/retryAllowance',
+    find: 'counts.retries.length + counts.dither >= allowed',
+    replace: 'counts.retries.length + 1 > allowed',
+    scenario: 'spec:relay/retryBudget',
   },
   {
     name: 'a call that has nowhere else to go draws nothing from the budget of repeats',
     file: 'relay/plainExchange.js',
-    find: 'if (mayGoOn && instance === undefined) {',
-    replace: 'if (mayGoOn && this.takeRepeat() && instance === undefined) {',
-    scenario: 'spec:relay/plainExchange',
+    find: 'if (mayRetry && instance === undefined) {',
+    replace: 'if (mayRetry && this.takeRetry() && instance === undefined) {',
+    scenario: 'spec:relay/bufferedExchange',
   },
   {
     name: 'a call that two upstreams fail alike counts against neither',
     file: 'relay/plainExchange.js',
-    find: 'if (this.failedOn.length === 1) {',
+    find: 'if (this.failedUpstreams.length === 1) {',
     replace: 'if (true) {',
-    scenario: 'spec:relay/plainExchange',
+    scenario: 'spec:relay/bufferedExchange',
   },
   {
     name: 'callers are not given the same few far entries',
