--- a/packages/kumquatfront/src/relay/bufferedExchange.spec.ts
+++ b/packages/kumquatfront/src/relay/bufferedExchange.spec.ts
@@ -94,16 +94,16 @@
     answer(harness.sent.at(-1), failure);
   }
   assert.equal(harness.sent.length, 6);
-  const { choice, instances, timers } = harness.context;
-  assert.deepEqual(choice.ejectedOf(instances.readyOf('llm'), timers.now()), []);
+  const { choice: balancer, instances, timers } = harness.context;
+  assert.deepEqual(balancer.ejectedOf(instances.readyOf('llm'), timers.now()), []);
 });
 
 // An upstream that fails calls which others answer must be ejected.
 void test.test('a call that another upstream answers counts against the one that failed it', () => {
   const harness = new relayBench.RelayBench(['a', 'b', 'c', 'd']);
-  const { choice, instances, timers } = harness.context;
+  const { choice: balancer, instances, timers } = harness.context;
   let calls = 0;
-  while (choice.ejectedOf(instances.readyOf('llm'), timers.now()).length === 0 && calls < 20) {
+  while (balancer.ejectedOf(instances.readyOf('llm'), timers.now()).length === 0 && calls < 20) {
     start(harness, 'idempotent');
     const sent = harness.sent.at(-1);
     if (sent?.call.instance.identity === 'a') {
@@ -112,7 +112,7 @@
     answer(harness.sent.at(-1), relayBench.soundHead);
     calls += 1;
   }
-  assert.deepEqual(choice.ejectedOf(instances.readyOf('llm'), timers.now()), ['a']);
+  assert.deepEqual(balancer.ejectedOf(instances.readyOf('llm'), timers.now()), ['a']);
 });
 
 // Failure: an unresponsive upstream delays the response beyond the objective. The first response wins and the other
--- a/packages/kumquatfront/src/relay/generationFacts.ts
+++ b/packages/kumquatfront/src/relay/generationFacts.ts
@@ -45,7 +45,7 @@
  * @returns a short hash
  * @example
  * ```ts
- * const likeness = generationAttributes.retryFingerprintOf(routed);
+ * const fingerprint = generationAttributes.retryFingerprintOf(routed);
  * ```
  */
 export function retryFingerprintOf(routed: exchangeContext.RoutedRequest): string {
--- a/packages/kumquatfront/src/relay/generationMove.ts
+++ b/packages/kumquatfront/src/relay/generationMove.ts
@@ -36,6 +36,7 @@
     this.request = request;
   }
 
+  /** Makes both copies and reports the result; stops after the first copy if it fails. */
   run(done: (result: MoveResult) => void): void {
     this.upstreams.copyMemory(this.source, this.target, this.request, false, (first) => {
       if (first.state !== 'copied') {
--- a/packages/kumquatfront/src/relay/localChoice.ts
+++ b/packages/kumquatfront/src/relay/localChoice.ts
@@ -47,11 +47,13 @@
     this.options = options;
   }
 
+  /** Records the start of a request to an instance. */
   recordDispatch({ identity }: instanceView.Instance, now: number): void {
     this.openRequests.set(identity, (this.openRequests.get(identity) ?? 0) + 1);
     this.health.dispatched(identity, now);
   }
 
+  /** Records the end of a request, whatever its outcome. */
   recordCompletion(identity: string): void {
     const remaining = (this.openRequests.get(identity) ?? 1) - 1;
     if (remaining <= 0) {
@@ -61,18 +63,22 @@
     }
   }
 
+  /** Stores the load that an instance reported with a response. */
   recordReportedLoad(identity: string, load: NonNullable<types.UpstreamHead['load']>, now: number): void {
     this.reportedLoads.set(identity, { total: load.running + load.waiting, at: now });
   }
 
+  /** Records a successful request for the passive health check. */
   recordSuccess(identity: string): void {
     this.health.succeeded(identity);
   }
 
+  /** Records a failed request for the passive health check. */
   recordFailure(identity: string, event: health.HealthEvent, now: number): void {
     this.health.failed(identity, event, now);
   }
 
+  /** Removes all state of an instance. */
   forget(identity: string): void {
     this.openRequests.delete(identity);
     this.reportedLoads.delete(identity);
--- a/packages/kumquatfront/src/relay/placementClient.ts
+++ b/packages/kumquatfront/src/relay/placementClient.ts
@@ -33,6 +33,7 @@
   readonly describe: () => placementTypes.RunningGeneration | undefined;
   /** True if its upstream has sent a termination notice. */
   readonly isUpstreamDraining: () => boolean;
+  /** Moves the generation to another engine. */
   readonly move: (target: string, done: (outcome: placementTypes.MoveOutcome) => void) => void;
   /** Handles the restart of an instance, which loses its earlier runs. */
   readonly onRestart: (instance: string) => void;
@@ -215,6 +216,7 @@
     });
   }
 
+  /** Number of generations that this entry relays. */
   get openCount(): number {
     return this.openGenerations.size;
   }
--- a/packages/kumquatfront/src/relay/plainExchange.ts
+++ b/packages/kumquatfront/src/relay/plainExchange.ts
@@ -46,10 +46,11 @@
     return this.routed.route.kind === 'idempotent';
   }
 
+  /** Sends the request to its first upstream. */
   start(): void {
-    const { timers, allowance } = this.context;
+    const { timers, allowance: retryBudget } = this.context;
     const { caller, deadline, service, route } = this.routed;
-    allowance.recordRequest(service.name, timers.now());
+    retryBudget.recordRequest(service.name, timers.now());
     caller.onGone(() => {
       this.finish({ outcome: 'callerGone' });
     });
@@ -90,15 +91,15 @@
 
   /** Takes one retry from the shared budget; called only after an upstream for it was found. */
   private takeRetry(): boolean {
-    const { allowance, timers } = this.context;
-    return allowance.take(this.routed.service.name, timers.now());
+    const { allowance: retryBudget, timers } = this.context;
+    return retryBudget.take(this.routed.service.name, timers.now());
   }
 
   /** Next upstream that was not tried; undefined if none is left. */
   private nextUpstream(): instanceView.Instance | undefined {
-    const { choice, timers } = this.context;
+    const { choice: balancer, timers } = this.context;
     const candidates = exchangeContext.candidatesOf(this.context, this.routed);
-    return choice.choose(candidates, this.triedUpstreams, timers.now());
+    return balancer.choose(candidates, this.triedUpstreams, timers.now());
   }
 
   private sendNext(): void {
@@ -111,13 +112,13 @@
   }
 
   private send(instance: instanceView.Instance): void {
-    const { choice, timers, upstreams } = this.context;
+    const { choice: balancer, timers, upstreams } = this.context;
     const { request, account, deadline, dataCentres } = this.routed;
     const now = timers.now();
     this.triedUpstreams.add(instance.identity);
     this.possibleRuns += 1;
     this.sendCount += 1;
-    choice.recordDispatch(instance, now);
+    balancer.recordDispatch(instance, now);
     const chunks: Uint8Array[] = [];
     const listener: types.ExchangeListener = {
       head: (head) => {
@@ -146,14 +147,14 @@
   }
 
   private onResponse(attempt: Attempt): void {
-    const { choice, timers, log } = this.context;
+    const { choice: balancer, timers, log } = this.context;
     const { head, instance } = attempt;
     this.close(attempt);
     if (this.ended || head === undefined) {
       return;
     }
     if (head.load !== undefined) {
-      choice.recordReportedLoad(instance.identity, head.load, timers.now());
+      balancer.recordReportedLoad(instance.identity, head.load, timers.now());
     }
     const verdict = responseClassification.classify(head, this.isIdempotent);
     if (verdict === 'notRun') {
@@ -168,7 +169,7 @@
       return;
     }
     if (verdict === 'garbled') {
-      choice.recordFailure(instance.identity, 'failure', timers.now());
+      balancer.recordFailure(instance.identity, 'failure', timers.now());
       this.retryOrFinish('garbled');
       return;
     }
@@ -179,16 +180,16 @@
       this.retryOrFinish('upstreamFailed');
       return;
     }
-    choice.recordSuccess(instance.identity);
+    balancer.recordSuccess(instance.identity);
     this.recordUpstreamFailures();
     this.deliver(head, body, instance);
   }
 
   /** Records failures of the upstreams that failed the request, once the request is known not to be the cause. */
   private recordUpstreamFailures(): void {
-    const { choice, timers } = this.context;
+    const { choice: balancer, timers } = this.context;
     for (const identity of this.failedUpstreams) {
-      choice.recordFailure(identity, 'failure', timers.now());
+      balancer.recordFailure(identity, 'failure', timers.now());
     }
   }
 
@@ -203,7 +204,7 @@
   }
 
   private onAttemptFailed(attempt: Attempt, failure: types.ExchangeFailure, reason: string): void {
-    const { choice, timers, log } = this.context;
+    const { choice: balancer, timers, log } = this.context;
     this.close(attempt);
     if (this.ended) {
       return;
@@ -222,7 +223,7 @@
       return;
     }
     if (failure !== 'withheld') {
-      choice.recordFailure(identity, failure === 'notSent' ? 'stall' : 'failure', timers.now());
+      balancer.recordFailure(identity, failure === 'notSent' ? 'stall' : 'failure', timers.now());
     }
     if (failure === 'notSent' || failure === 'withheld') {
       this.possibleRuns -= 1;
@@ -304,9 +305,9 @@
         exchangeContext.NO_UPSTREAM_RETRY_DELAY,
       );
     } else {
-      const { choice, timers } = this.context;
+      const { choice: balancer, timers } = this.context;
       for (const attempt of this.openAttempts) {
-        choice.recordFailure(attempt.instance.identity, 'stall', timers.now());
+        balancer.recordFailure(attempt.instance.identity, 'stall', timers.now());
         attempt.cancel('silent');
       }
       this.refuse('timeoutUnknown', 'the upstream did not respond before the deadline of the request');
--- a/packages/kumquatfront/src/relay/relayBench.ts
+++ b/packages/kumquatfront/src/relay/relayBench.ts
@@ -71,8 +71,11 @@
 export class RelayBench {
   readonly time = new virtualTime.VirtualTime();
   readonly timers = timerService.create(this.time.clock, this.time);
+  /** Calls that were sent to upstreams, in order. */
   readonly sent: SentCall[] = [];
+  /** Requested memory copies, in order. */
   readonly copies: CopyRequest[] = [];
+  /** Handles of released memory copies. */
   readonly releasedCopies: string[] = [];
   /** Placement requests in order. */
   readonly asked: placementTypes.PlacementRequest[] = [];
@@ -87,7 +90,7 @@
   private readonly peerHandlers = new Map<string, ports.PeerHandler>();
   private readonly table = new instanceTable.InstanceTable('e');
 
-  constructor(instances: readonly string[], slack = 100) {
+  constructor(instances: readonly string[], retrySlack = 100) {
     const { timers, time } = this;
     const random = seededRandom.create(5);
     const noop = (): void => undefined;
@@ -144,7 +147,11 @@
       instances: view,
       rules,
       choice: new localChoice.LocalChoice({ random, dataCentre: 'a', rules }),
-      allowance: new retryAllowance.RetryAllowance({ ratio: 0.2, slack, window: 10_000 }, () => 1, random),
+      allowance: new retryAllowance.RetryAllowance(
+        { ratio: 0.2, slack: retrySlack, window: 10_000 },
+        () => 1,
+        random,
+      ),
       placement: new placementClient.PlacementClient({
         entry: 'entry',
         dataCentre: 'a',
@@ -220,6 +227,7 @@
     );
   }
 
+  /** Simulates a caller that disconnects. */
   disconnectCaller(): void {
     this.notifyCallerGone();
   }
@@ -261,8 +269,8 @@
         abort: () => {
           got.push('abort');
         },
-        onGone: (gone) => {
-          this.notifyCallerGone = gone;
+        onGone: (callback) => {
+          this.notifyCallerGone = callback;
         },
       },
       route: {
--- a/packages/kumquatfront/src/relay/retryAllowance.ts
+++ b/packages/kumquatfront/src/relay/retryAllowance.ts
@@ -12,6 +12,7 @@
   readonly ratio: number;
   /** Retries permitted in each window in addition to `ratio`. */
   readonly slack: number;
+  /** Length of the sliding window. */
   readonly window: ports.Milliseconds;
 }
 
@@ -34,13 +35,13 @@
 
   /**
    * @param settings - limits that all entries share
-   * @param shareOfSlack - this entry's share of `settings.slack`, from 0 to 1
+   * @param slackShare - this entry's share of `settings.slack`, from 0 to 1
    * @param random - source of the random rounding
    */
-  constructor(settings: AllowanceSettings, shareOfSlack: () => number, random: ports.Random) {
+  constructor(settings: AllowanceSettings, slackShare: () => number, random: ports.Random) {
     this.settings = settings;
     this.random = random;
-    this.slackShare = shareOfSlack;
+    this.slackShare = slackShare;
   }
 
   private countsOf(service: string, now: number): RetryCounts {
--- a/packages/kumquatfront/src/relay/startupQueue.spec.ts
+++ b/packages/kumquatfront/src/relay/startupQueue.spec.ts
@@ -21,9 +21,9 @@
     draining: () => false,
   });
 
-  sendRequest(patience: number): void {
+  sendRequest(callerTimeout: number): void {
     const { request, caller } = this.harness.routed('idempotent');
-    this.relay.handle({ ...request, patience }, caller);
+    this.relay.handle({ ...request, patience: callerTimeout }, caller);
   }
 
   configure(): void {
--- a/packages/kumquatfront/src/relay/streamExchange.ts
+++ b/packages/kumquatfront/src/relay/streamExchange.ts
@@ -32,7 +32,9 @@
   private ended = false;
   /** Number of attempts that may have run the request, including resumptions. */
   private possibleRuns = 0;
+  /** Number of sends to upstreams. */
   sends = 0;
+  /** Number of resumptions from a memory copy. */
   moves = 0;
   /** Set while a replacement for an idle segment is being selected. */
   private idleSearch:
@@ -65,10 +67,11 @@
     });
   }
 
+  /** Registers the generation for reports and selects its first upstream. */
   start(): void {
-    const { timers, allowance, placement } = this.context;
+    const { timers, allowance: retryBudget, placement } = this.context;
     const { caller, deadline, service, request } = this.routed;
-    allowance.recordRequest(service.name, timers.now());
+    retryBudget.recordRequest(service.name, timers.now());
     caller.onGone(() => {
       this.finish({ outcome: 'callerGone' });
     });
@@ -103,6 +106,7 @@
     }
   }
 
+  /** State of the run for reports to the coordinator; undefined while no upstream is assigned. */
   describe(): placementTypes.RunningGeneration | undefined {
     if (this.active === undefined || this.attributes === undefined) {
       return undefined;
@@ -111,6 +115,7 @@
     return { facts, instance: segment.instance.identity, produced, started: segment.eventCount > 0 };
   }
 
+  /** True if the current upstream has sent a termination notice. */
   isUpstreamDraining(): boolean {
     return this.active !== undefined && this.context.instances.hasGivenNotice(this.active.instance.identity);
   }
@@ -154,7 +159,7 @@
   }
 
   private send(instance: instanceView.Instance, copy: types.MemoryCopy | undefined): void {
-    const { upstreams, choice, timers, placement, log } = this.context;
+    const { upstreams, choice: balancer, timers, placement, log } = this.context;
     const { request, account, upstreamPriority, deadline, dataCentres } = this.routed;
     const now = timers.now();
     const segment = new streamSegment.StreamSegment(instance, copy);
@@ -163,7 +168,7 @@
     if (copy === undefined) {
       this.possibleRuns += 1;
     }
-    choice.recordDispatch(instance, now);
+    balancer.recordDispatch(instance, now);
     log.debug('streamSent', {
       request: request.identity,
       upstream: instance.identity,
@@ -187,13 +192,13 @@
   }
 
   private createSegmentListener(segment: streamSegment.StreamSegment): streamSegment.SegmentListener {
-    const { choice, timers } = this.context;
+    const { choice: balancer, timers } = this.context;
     return {
       started: (head) => {
         this.delivery.setHead(head);
       },
       loadReported: (load) => {
-        choice.recordReportedLoad(segment.instance.identity, load, timers.now());
+        balancer.recordReportedLoad(segment.instance.identity, load, timers.now());
       },
       event: (event) => {
         this.onEvent(segment, event);
@@ -267,9 +272,9 @@
 
   /** Takes one retry from the shared budget if the stream may be sent again; false otherwise. */
   private takeResumption(): boolean {
-    const { allowance, timers } = this.context;
+    const { allowance: retryBudget, timers } = this.context;
     const isQuarantined = exchangeContext.quarantineVerdictOf(this.context, this.routed) === 'quarantined';
-    return this.hasAttemptsLeft && !isQuarantined && allowance.take(this.routed.service.name, timers.now());
+    return this.hasAttemptsLeft && !isQuarantined && retryBudget.take(this.routed.service.name, timers.now());
   }
 
   private closeSegment(segment: streamSegment.StreamSegment, reason?: 'silent'): void {
@@ -288,11 +293,11 @@
   }
 
   private onErrorResponse(segment: streamSegment.StreamSegment, response: streamSegment.ErrorResponse): void {
-    const { choice, timers } = this.context;
+    const { choice: balancer, timers } = this.context;
     const { head, body } = response;
     const { identity } = segment.instance;
     this.closeSegment(segment);
-    choice.recordFailure(identity, 'failure', timers.now());
+    balancer.recordFailure(identity, 'failure', timers.now());
     if (head.status >= 500 && this.takeResumption()) {
       this.resumeElsewhere(segment, 'upstreamFailed');
     } else if (this.delivery.started) {
@@ -305,7 +310,7 @@
 
   /** Handles an upstream's statement that it did not run the request. */
   private onNotRun(segment: streamSegment.StreamSegment): void {
-    const { allowance, timers, log } = this.context;
+    const { allowance: retryBudget, timers, log } = this.context;
     const { service, request } = this.routed;
     this.selector.exclude(segment.instance.identity);
     log.info('attemptNotRun', { request: request.identity, upstream: segment.instance.identity });
@@ -314,7 +319,7 @@
       return;
     }
     this.possibleRuns -= 1;
-    if (allowance.take(service.name, timers.now())) {
+    if (retryBudget.take(service.name, timers.now())) {
       this.selector.select();
     } else {
       this.onNoUpstream(
@@ -330,7 +335,7 @@
     failure: types.ExchangeFailure,
     reason: string,
   ): void {
-    const { choice, timers, log } = this.context;
+    const { choice: balancer, timers, log } = this.context;
     this.closeSegment(segment);
     if (failure === 'quarantined') {
       this.possibleRuns -= segment.copy === undefined ? 1 : 0;
@@ -346,7 +351,7 @@
       lastEvent: this.delivery.lastEvent,
     });
     if (failure !== 'withheld') {
-      choice.recordFailure(
+      balancer.recordFailure(
         segment.instance.identity,
         failure === 'notSent' ? 'stall' : 'failure',
         timers.now(),
--- a/packages/kumquatfront/src/relay/streamLogSummary.ts
+++ b/packages/kumquatfront/src/relay/streamLogSummary.ts
@@ -26,7 +26,7 @@
  * @returns the log fields
  * @example
  * ```ts
- * log.info('requestEnded', { outcome, ...streamStory.of(routed, facts, delivery, counts) });
+ * log.info('requestEnded', { outcome, ...streamLogSummary.fieldsFor(routed, attributes, delivery, counts) });
  * ```
  */
 export function fieldsFor(
--- a/packages/kumquatfront/src/relay/types.ts
+++ b/packages/kumquatfront/src/relay/types.ts
@@ -100,7 +100,7 @@
 }
 
 /** Cancels an exchange and closes its connection. `silent` states that the upstream was unresponsive. */
-export type CancelExchange = (why?: 'silent') => void;
+export type CancelExchange = (reason?: 'silent') => void;
 
 /** Result of a connection attempt; `unknown` if there is no reply, as in a network partition. */
 export type ConnectionSign = 'accepted' | 'refused' | 'unknown';
@@ -165,5 +165,5 @@
   /** Aborts a streamed response so that the caller can detect that it is incomplete. */
   readonly abort: () => void;
   /** Registers a callback for a caller that disconnects before its response is complete. */
-  readonly onGone: (gone: () => void) => void;
+  readonly onGone: (callback: () => void) => void;
 }
--- a/packages/kumquatfront/src/relay/upstreamSelector.ts
+++ b/packages/kumquatfront/src/relay/upstreamSelector.ts
@@ -35,12 +35,12 @@
   constructor(
     context: exchangeContext.ExchangeContext,
     routed: exchangeContext.RoutedRequest,
-    facts: placementTypes.GenerationFacts | undefined,
+    attributes: placementTypes.GenerationFacts | undefined,
     listener: UpstreamSelectionListener,
   ) {
     this.context = context;
     this.routed = routed;
-    this.attributes = facts;
+    this.attributes = attributes;
     this.listener = listener;
   }
 
@@ -51,7 +51,7 @@
 
   /** Starts one selection and reports its result to the listener. */
   select(): void {
-    const { placement, timers, choice, rules } = this.context;
+    const { placement, timers, choice: balancer, rules } = this.context;
     const { deadline, request, route } = this.routed;
     const candidates = exchangeContext.candidatesOf(this.context, this.routed);
     if (this.attributes === undefined || candidates.length === 0) {
@@ -68,7 +68,7 @@
     const totalTime = deadline - request.arrivedAt;
     const waitUntil =
       request.arrivedAt + waitingRules.longestWait(objective, totalTime, this.attributes.rank);
-    const ejected = choice.ejectedOf(candidates, now);
+    const ejected = balancer.ejectedOf(candidates, now);
     const placementRequest: placementClient.PlacementParameters = {
       facts: this.attributes,
       excluded: [
@@ -105,9 +105,9 @@
   }
 
   private selectLocally(): void {
-    const { choice, timers } = this.context;
+    const { choice: balancer, timers } = this.context;
     const candidates = exchangeContext.candidatesOf(this.context, this.routed);
-    const instance = choice.choose(candidates, this.excludedUpstreams, timers.now());
+    const instance = balancer.choose(candidates, this.excludedUpstreams, timers.now());
     if (instance === undefined) {
       this.reportNoUpstream();
     } else {
