--- a/packages/kumquatfront/src/relay/retryBudget.spec.ts
+++ b/packages/kumquatfront/src/relay/retryBudget.spec.ts
@@ -26,13 +26,13 @@
 function simulate(
   entries: number,
   failureRate: number,
-  shareOfSlack: number,
+  slackShare: number,
   retryableShare = RETRYABLE_SHARE,
 ): SimulationResult {
   const random = seededRandom.create(11);
-  const allowances = Array.from(
+  const budgets = Array.from(
     { length: entries },
-    () => new retryAllowance.RetryAllowance(SETTINGS, () => shareOfSlack, random),
+    () => new retryAllowance.RetryAllowance(SETTINGS, () => slackShare, random),
   );
   const callTimes: number[] = [];
   const retryTimes: number[] = [];
@@ -41,12 +41,12 @@
   let worstExcess = Number.NEGATIVE_INFINITY;
   for (let call = 0; call < CALLS_PER_SECOND * SIMULATED_SECONDS; call += 1) {
     const now = (call / CALLS_PER_SECOND) * 1_000;
-    const allowance = allowances[Math.floor(random.next() * entries)];
+    const budget = budgets[Math.floor(random.next() * entries)];
     callTimes.push(now);
-    allowance?.recordRequest('app', now);
+    budget?.recordRequest('app', now);
     if (random.next() < retryableShare && random.next() < failureRate) {
       wanted += 1;
-      if (allowance?.take('app', now) === true) {
+      if (budget?.take('app', now) === true) {
         retryTimes.push(now);
       } else {
         refused += 1;
