--- a/packages/kumquatfront/src/addresses/addressList.ts
+++ b/packages/kumquatfront/src/addresses/addressList.ts
@@ -1,10 +1,10 @@
 /**
- * Which entries a caller should use, preferred first.
+ * Orders the entry addresses offered to a caller by preference.
  */
 import type * as directory from '../directory/types.js';
 import type * as ports from '../kernel/ports.js';
 
-/** One address in the answer to a caller. */
+/** An entry address in the response to a caller. */
 export interface EntryAddress {
   readonly address: string;
   readonly dataCentre: string;
@@ -22,17 +22,18 @@
 }
 
 /**
- * Orders the entries for one caller: those of the data centre first, less busy ones more often first, and
- * never one that drains. Stale entries come last, and only where nothing better is left. The order is random within its weight: callers keep an answer for a while,
- * and a strict order would send all of them to the same entry until they ask again.
+ * Orders the entries for one caller: entries of the preferred data centre first, then by a random order
+ * weighted towards less loaded entries. Draining entries are left out; stale ones are included only if no entry
+ * is serving.
+ * The order is random because callers cache it, and a fixed order would send all of them to the same entry.
  *
- * @param entries - entries with a lease
- * @param dataCentre - data centre to prefer
- * @param random - where the order comes from
- * @returns addresses, preferred first
+ * @param entries - entries with a valid lease
+ * @param dataCentre - preferred data centre
+ * @param random - source of randomness
+ * @returns addresses in order of preference
  * @example
  * ```ts
- * addressList.order(directory.entries(), 'perth-1', ports.random);
+ * addressList.orderByPreference(directory.entries(), 'perth-1', ports.random);
  * ```
  */
 export function order(
@@ -40,15 +41,15 @@
   dataCentre: string,
   random: ports.Random,
 ): readonly EntryAddress[] {
-  const usable = entries.filter((entry) => entry.state !== 'draining');
-  const serving = usable.filter((entry) => entry.state === 'serving');
-  const offered = serving.length > 0 ? serving : usable;
-  const keyed = offered.map((entry) => ({
+  const notDraining = entries.filter((entry) => entry.state !== 'draining');
+  const serving = notDraining.filter((entry) => entry.state === 'serving');
+  const candidates = serving.length > 0 ? serving : notDraining;
+  const ranked = candidates.map((entry) => ({
     entry,
     rank: rankOf(entry, dataCentre),
-    // Weighted random order: the key of the item with the larger weight is smaller more often.
+    // Exponential sort key: entries with fewer requests in flight tend to get smaller keys.
     key: -Math.log(1 - random.next()) * (1 + entry.inFlight),
   }));
-  keyed.sort((left, right) => left.rank - right.rank || left.key - right.key);
-  return keyed.map(({ entry }) => ({ address: entry.callerAddress, dataCentre: entry.dataCentre }));
+  ranked.sort((left, right) => left.rank - right.rank || left.key - right.key);
+  return ranked.map(({ entry }) => ({ address: entry.callerAddress, dataCentre: entry.dataCentre }));
 }
--- a/packages/kumquatfront/src/burn/burnRecorder.ts
+++ b/packages/kumquatfront/src/burn/burnRecorder.ts
@@ -1,46 +1,46 @@
 /**
- * Counts calls against the service-level objectives, minute by minute, so that burn can be reported over
- * several windows and merged over entries.
+ * Counts calls that meet or miss their service-level objectives, in one-minute buckets, so that the error
+ * budget burn can be reported over several windows and merged across entries.
  */
 import type * as configuration from '../configuration/types.js';
 
-/** What an objective measures; milliseconds. */
+/** Quantity that an objective measures, in milliseconds. */
 export type Measure = configuration.ObjectiveBody['measure'];
 
-/** Calls of one minute under one objective. */
+/** Calls that met or missed one objective within one minute. */
 export interface BurnCount {
   good: number;
   bad: number;
 }
 
-/** Counts of one objective by minute since 1970. */
+/** Counts of one objective, keyed by minutes since the Unix epoch. */
 export type BurnSeries = Readonly<Record<string, BurnCount>>;
 
-/** Counts of every objective of one entry. */
+/** Counts of one entry, keyed by objective name. */
 export type BurnCounts = Readonly<Record<string, BurnSeries>>;
 
 const MINUTE = 60_000;
-const MINUTES_KEPT = 24 * 60;
+const RETENTION_MINUTES = 24 * 60;
 
 interface NamedObjective {
   readonly name: string;
   readonly body: configuration.ObjectiveBody;
 }
 
-/** The recorder of one entry; see the module comment. */
+/** Records the calls of one entry against the configured objectives. */
 export class BurnRecorder {
-  private readonly wall: () => number;
+  private readonly wallClock: () => number;
   private objectives: readonly NamedObjective[] = [];
   private readonly counts = new Map<string, Map<number, BurnCount>>();
 
   /**
-   * @param wall - milliseconds since 1970
+   * @param wallClock - returns the milliseconds since the Unix epoch
    */
-  constructor(wall: () => number) {
-    this.wall = wall;
+  constructor(wallClock: () => number) {
+    this.wallClock = wallClock;
   }
 
-  /** Takes over the objectives of a version of the configuration. */
+  /** Replaces the objectives by those of a version of the configuration. */
   update(objects: readonly configuration.ConfigurationObject[]): void {
     const objectives: NamedObjective[] = [];
     for (const object of objects) {
@@ -51,17 +51,17 @@
     this.objectives = objectives;
   }
 
-  /** Notes one measured value of a call. */
+  /** Records one measured value of a call. */
   record(measure: Measure, urgency: configuration.Urgency, milliseconds: number): void {
     for (const { name, body } of this.objectives) {
       if (body.measure === measure && body.urgency === urgency) {
-        this.count(name, milliseconds <= body.threshold);
+        this.increment(name, milliseconds <= body.threshold);
       }
     }
   }
 
-  private count(name: string, good: boolean): void {
-    const minute = Math.floor(this.wall() / MINUTE);
+  private increment(name: string, good: boolean): void {
+    const minute = Math.floor(this.wallClock() / MINUTE);
     const series = this.counts.get(name) ?? new Map<number, BurnCount>();
     this.counts.set(name, series);
     const count = series.get(minute) ?? { good: 0, bad: 0 };
@@ -71,14 +71,15 @@
     } else {
       count.bad += 1;
     }
-    for (const old of series.keys()) {
-      if (old > minute - MINUTES_KEPT) {
+    for (const recordedMinute of series.keys()) {
+      if (recordedMinute > minute - RETENTION_MINUTES) {
         break;
       }
-      series.delete(old);
+      series.delete(recordedMinute);
     }
   }
 
+  /** Returns the retained counts of all objectives. */
   toJson(): BurnCounts {
     return Object.fromEntries(
       [...this.counts].map(([name, series]) => [
--- a/packages/kumquatfront/src/client/callerClient.ts
+++ b/packages/kumquatfront/src/client/callerClient.ts
@@ -1,6 +1,6 @@
 /**
- * The caller helper: finds entries, goes on with a stream at another entry when one dies, repeats what was
- * not run, and shows each token exactly once.
+ * Client for callers: discovers entries, resumes a stream through another entry after a failure, retries
+ * requests that were not executed, and delivers each token exactly once.
  */
 import * as stringDecoder from 'node:string_decoder';
 
@@ -9,15 +9,15 @@
 
 import * as results from '../kernel/results.js';
 import type * as ports from '../kernel/ports.js';
-import * as addressBook from './addressBook.js';
+import * as entryAddressCache from './entryAddressCache.js';
 import type * as types from './types.js';
 
 const CONNECT_TIMEOUT = 1_000;
-const PAUSE_AFTER_FAILURE = 100;
+const RETRY_DELAY = 100;
 const DEFAULT_RETRY_AFTER = 500;
 
-type Attempt =
-  | { readonly type: 'whole' }
+type AttemptResult =
+  | { readonly type: 'complete' }
   | { readonly type: 'lost' }
   | {
       readonly type: 'refused';
@@ -25,7 +25,7 @@
       readonly retryAfter: number | undefined;
     };
 
-interface RefusalBody {
+interface ErrorResponseBody {
   readonly error?: {
     readonly type?: string;
     readonly message?: string;
@@ -33,9 +33,9 @@
   };
 }
 
-/** State of one stream over all its connections. */
+/** State of one stream across its connections. */
 interface StreamState {
-  token: string;
+  resumeToken: string;
   tokens: number;
   restarts: number;
   reconnects: number;
@@ -46,22 +46,26 @@
   return (JSON.parse(payload) as { requestId: string }).requestId;
 }
 
-function parseRefusal(text: string): RefusalBody {
+function parseErrorBody(text: string): ErrorResponseBody {
   try {
-    return JSON.parse(text) as RefusalBody;
+    return JSON.parse(text) as ErrorResponseBody;
   } catch {
     return {};
   }
 }
 
-function toRefused(body: RefusalBody): Attempt {
+function toRefusedAttempt(body: ErrorResponseBody): AttemptResult {
   const kind = body.error?.type ?? 'invalid';
-  const known = kind === 'notRun' || kind === 'outcomeUnknown' || kind === 'interrupted' ? kind : 'invalid';
-  const failure = { kind: known, message: body.error?.message ?? 'no message' } as const;
+  const knownKind =
+    kind === 'notRun' || kind === 'outcomeUnknown' || kind === 'interrupted' ? kind : 'invalid';
+  const failure = {
+    kind: knownKind,
+    message: body.error?.message ?? 'the response contains no error message',
+  } as const;
   return { type: 'refused', failure, retryAfter: body.error?.retryAfterMilliseconds };
 }
 
-/** The helper; see the module comment. */
+/** Sends streaming and plain-service requests of one client account. */
 export class CallerClient {
   private readonly options: types.CallerClientOptions;
   private readonly clock: ports.Clock;
@@ -72,10 +76,10 @@
     bodyTimeout: 0,
     pipelining: 1,
   });
-  private readonly book: addressBook.AddressBook;
+  private readonly entryAddresses: entryAddressCache.EntryAddressCache;
 
   /**
-   * @param options - where to go and as whom
+   * @param options - seed entries, credentials and limits
    * @param time - clock and scheduler
    * @example
    * ```ts
@@ -90,10 +94,12 @@
     this.options = options;
     this.clock = time.clock;
     this.scheduler = time.scheduler;
-    this.book = new addressBook.AddressBook(options.entries, this.agent, () => this.clock.now());
+    this.entryAddresses = new entryAddressCache.EntryAddressCache(options.entries, this.agent, () =>
+      this.clock.now(),
+    );
   }
 
-  private pause(milliseconds: number): Promise<void> {
+  private delay(milliseconds: number): Promise<void> {
     return new Promise((resolve) => {
       this.scheduler.after(milliseconds, resolve);
     });
@@ -108,7 +114,7 @@
     };
   }
 
-  /** Streams a generation; every token reaches the receiver once, in order, from a single generation. */
+  /** Streams a generation; each token is delivered once, in order, from a single generation. */
   async stream(
     path: string,
     body: Readonly<Record<string, unknown>>,
@@ -117,55 +123,55 @@
     return this.streamAt(undefined, path, body, receiver);
   }
 
-  /** Like `stream`, but the first connection goes to a given entry. */
+  /** Like `stream`, but opens the first connection to the given entry. */
   async streamAt(
     entry: string | undefined,
     path: string,
     body: Readonly<Record<string, unknown>>,
     receiver: types.StreamReceiver,
   ): Promise<results.Result<types.StreamSummary, types.ClientFailure>> {
-    const state: StreamState = { token: '', tokens: 0, restarts: 0, reconnects: -1 };
-    let given = entry;
-    const endsAt = this.clock.now() + this.options.deadline;
+    const state: StreamState = { resumeToken: '', tokens: 0, restarts: 0, reconnects: -1 };
+    let nextEntry = entry;
+    const deadlineAt = this.clock.now() + this.options.deadline;
     const text = JSON.stringify({ ...body, stream: true });
-    let last: types.ClientFailure = { kind: 'notRun', message: 'No entry could be reached.' };
-    while (this.clock.now() < endsAt) {
+    let lastFailure: types.ClientFailure = { kind: 'notRun', message: 'No entry is reachable.' };
+    while (this.clock.now() < deadlineAt) {
       state.reconnects += 1;
       const attempt = await this.attemptStream(
-        given ?? (await this.book.current()),
+        nextEntry ?? (await this.entryAddresses.currentEntry()),
         path,
         text,
         state,
         receiver,
       );
-      given = undefined;
-      if (attempt.type === 'whole') {
+      nextEntry = undefined;
+      if (attempt.type === 'complete') {
         const { tokens, restarts, reconnects } = state;
         return results.Ok({ tokens, restarts, reconnects });
       }
       if (attempt.type === 'refused') {
-        last = attempt.failure;
-        // Before the first token there is nothing to void, so asking again needs no leave to restart.
-        const voidable = this.options.restart || state.tokens === 0;
-        const again = last.kind === 'notRun' || (last.kind === 'interrupted' && voidable);
-        if (!again) {
-          return results.Err(last);
+        lastFailure = attempt.failure;
+        // Before the first token there is nothing to discard, so a retry is allowed without the restart option.
+        const mayRestart = this.options.restart || state.tokens === 0;
+        const mayRetry = lastFailure.kind === 'notRun' || (lastFailure.kind === 'interrupted' && mayRestart);
+        if (!mayRetry) {
+          return results.Err(lastFailure);
         }
-        // An entry that refuses a resumption as not run says nothing about the generation itself.
-        if (last.kind === 'interrupted') {
-          this.void(state, receiver);
+        // A resumption refused with `notRun` does not mean that the generation was interrupted.
+        if (lastFailure.kind === 'interrupted') {
+          this.discardReceivedTokens(state, receiver);
         }
-        await this.pause(attempt.retryAfter ?? DEFAULT_RETRY_AFTER);
+        await this.delay(attempt.retryAfter ?? DEFAULT_RETRY_AFTER);
       } else {
-        await this.pause(PAUSE_AFTER_FAILURE);
+        await this.delay(RETRY_DELAY);
       }
-      this.book.failed();
+      this.entryAddresses.skipCurrentEntry();
     }
-    return results.Err(last);
+    return results.Err(lastFailure);
   }
 
-  private void(state: StreamState, receiver: types.StreamReceiver): void {
-    state.token = '';
+  private discardReceivedTokens(state: StreamState, receiver: types.StreamReceiver): void {
+    state.resumeToken = '';
     if (state.tokens > 0) {
       state.tokens = 0;
       state.restarts += 1;
@@ -179,22 +185,22 @@
     body: string,
     state: StreamState,
     receiver: types.StreamReceiver,
-  ): Promise<Attempt> {
-    const aborter = new AbortController();
-    const watch = this.watchSilence(aborter);
+  ): Promise<AttemptResult> {
+    const abortController = new AbortController();
+    const idleWatch = this.watchIdleTimeout(abortController);
     try {
-      const response = await this.openStream(entry, path, body, state, aborter.signal);
+      const response = await this.openStream(entry, path, body, state, abortController.signal);
       if (response.statusCode !== 200) {
-        return toRefused(parseRefusal(await response.body.text()));
+        return toRefusedAttempt(parseErrorBody(await response.body.text()));
       }
       const resume = response.headers['kumquatfront-resume'];
-      state.token = typeof resume === 'string' && state.token === '' ? resume : state.token;
-      return await this.readStream(response.body, state, receiver, watch.touch);
+      state.resumeToken = typeof resume === 'string' && state.resumeToken === '' ? resume : state.resumeToken;
+      return await this.readStream(response.body, state, receiver, idleWatch.touch);
     } catch {
       return { type: 'lost' };
     } finally {
-      watch.stop();
-      aborter.abort();
+      idleWatch.stop();
+      abortController.abort();
     }
   }
 
@@ -206,7 +212,7 @@
     signal: AbortSignal,
   ): Promise<undici.Dispatcher.ResponseData> {
     const headers = this.headers();
-    if (state.token === '') {
+    if (state.resumeToken === '') {
       return undici.request(`${entry}${path}`, {
         dispatcher: this.agent,
         method: 'POST',
@@ -215,17 +221,17 @@
         signal,
       });
     }
-    headers['last-event-id'] = state.token;
-    const url = `${entry}/v1/requests/${requestIdOf(state.token)}`;
+    headers['last-event-id'] = state.resumeToken;
+    const url = `${entry}/v1/requests/${requestIdOf(state.resumeToken)}`;
     return undici.request(url, { dispatcher: this.agent, method: 'GET', headers, signal });
   }
 
-  private watchSilence(aborter: AbortController): { touch: () => void; stop: () => void } {
-    let heardAt = this.clock.now();
+  private watchIdleTimeout(abortController: AbortController): { touch: () => void; stop: () => void } {
+    let lastReceivedAt = this.clock.now();
     let cancel: ports.Cancel = () => undefined;
     const check = (): void => {
-      if (this.clock.now() - heardAt > this.options.silenceLimit) {
-        aborter.abort();
+      if (this.clock.now() - lastReceivedAt > this.options.silenceLimit) {
+        abortController.abort();
         return;
       }
       cancel = this.scheduler.after(this.options.silenceLimit / 4, check);
@@ -233,7 +239,7 @@
     check();
     return {
       touch: () => {
-        heardAt = this.clock.now();
+        lastReceivedAt = this.clock.now();
       },
       stop: () => {
         cancel();
@@ -246,9 +252,9 @@
     state: StreamState,
     receiver: types.StreamReceiver,
     touch: () => void,
-  ): Promise<Attempt> {
+  ): Promise<AttemptResult> {
     const decoder = new stringDecoder.StringDecoder('utf8');
-    let outcome: Attempt = { type: 'lost' };
+    let outcome: AttemptResult = { type: 'lost' };
     const parser = eventSource.createParser({
       onEvent: (event) => {
         outcome = this.onEvent(event, state, receiver) ?? outcome;
@@ -265,31 +271,31 @@
     event: eventSource.EventSourceMessage,
     state: StreamState,
     receiver: types.StreamReceiver,
-  ): Attempt | undefined {
+  ): AttemptResult | undefined {
     if (event.data === '[DONE]') {
-      return { type: 'whole' };
+      return { type: 'complete' };
     }
     if (event.event === 'error') {
-      return toRefused(parseRefusal(event.data));
+      return toRefusedAttempt(parseErrorBody(event.data));
     }
     if (event.event === 'restart') {
-      this.void(state, receiver);
-      state.token = event.id ?? '';
+      this.discardReceivedTokens(state, receiver);
+      state.resumeToken = event.id ?? '';
       return undefined;
     }
-    // Each id names the index that comes next; one that does not go on by one was shown already.
-    const next = Number((event.id ?? '').split('.').at(-1));
-    if (next === state.tokens + 1) {
-      state.tokens = next;
-      state.token = event.id ?? '';
+    // Each id contains the index of the next token; any other index belongs to a token already delivered.
+    const nextIndex = Number((event.id ?? '').split('.').at(-1));
+    if (nextIndex === state.tokens + 1) {
+      state.tokens = nextIndex;
+      state.resumeToken = event.id ?? '';
       receiver.onToken(event.data);
     }
     return undefined;
   }
 
   /**
-   * Calls a plain service. With an idempotency key, a call whose answer was lost is asked for again under
-   * the same key; it runs at most once.
+   * Calls a plain service. With an idempotency key, a call whose response was lost is retried under the same
+   * key and executed at most once.
    */
   async call(
     service: string,
@@ -297,28 +303,28 @@
     path: string,
     body: string,
     idempotencyKey?: string,
-  ): Promise<results.Result<types.ClientAnswer, types.ClientFailure>> {
-    const endsAt = this.clock.now() + this.options.deadline;
-    let last: types.ClientFailure = { kind: 'notRun', message: 'No entry could be reached.' };
-    let mayHaveRun = false;
-    while (this.clock.now() < endsAt) {
+  ): Promise<results.Result<types.ServiceResponse, types.ClientFailure>> {
+    const deadlineAt = this.clock.now() + this.options.deadline;
+    let lastFailure: types.ClientFailure = { kind: 'notRun', message: 'No entry is reachable.' };
+    let mayHaveExecuted = false;
+    while (this.clock.now() < deadlineAt) {
       const attempt = await this.attemptCall(service, method, path, body, idempotencyKey);
       if ('status' in attempt) {
         return results.Ok(attempt);
       }
       if (attempt.type === 'refused') {
-        last = attempt.failure;
+        lastFailure = attempt.failure;
         if (attempt.retryAfter === undefined) {
-          return results.Err(last);
+          return results.Err(lastFailure);
         }
-        await this.pause(attempt.retryAfter);
+        await this.delay(attempt.retryAfter);
       } else {
-        mayHaveRun = true;
-        await this.pause(PAUSE_AFTER_FAILURE);
+        mayHaveExecuted = true;
+        await this.delay(RETRY_DELAY);
       }
-      this.book.failed();
+      this.entryAddresses.skipCurrentEntry();
     }
-    return results.Err(mayHaveRun ? { ...last, kind: 'outcomeUnknown' } : last);
+    return results.Err(mayHaveExecuted ? { ...lastFailure, kind: 'outcomeUnknown' } : lastFailure);
   }
 
   private async attemptCall(
@@ -327,31 +333,34 @@
     path: string,
     body: string,
     idempotencyKey: string | undefined,
-  ): Promise<Attempt | types.ClientAnswer> {
+  ): Promise<AttemptResult | types.ServiceResponse> {
     const headers = this.headers();
     if (idempotencyKey !== undefined) {
       headers['idempotency-key'] = idempotencyKey;
     }
     try {
-      const response = await undici.request(`${await this.book.current()}/v1/services/${service}${path}`, {
-        dispatcher: this.agent,
-        method: method,
-        headers,
-        body: method === 'GET' ? undefined : body,
-        signal: AbortSignal.timeout(this.options.silenceLimit),
-      });
+      const response = await undici.request(
+        `${await this.entryAddresses.currentEntry()}/v1/services/${service}${path}`,
+        {
+          dispatcher: this.agent,
+          method: method,
+          headers,
+          body: method === 'GET' ? undefined : body,
+          signal: AbortSignal.timeout(this.options.silenceLimit),
+        },
+      );
       const text = await response.body.text();
       const replayed = response.headers['idempotency-replayed'];
       if (replayed === undefined) {
-        return toRefused(parseRefusal(text));
+        return toRefusedAttempt(parseErrorBody(text));
       }
-      return { status: response.statusCode, body: text, repeated: replayed === 'true' };
+      return { status: response.statusCode, body: text, replayed: replayed === 'true' };
     } catch {
       return { type: 'lost' };
     }
   }
 
-  /** Closes every connection. */
+  /** Closes all connections. */
   async close(): Promise<void> {
     await this.agent.destroy();
   }
--- a/packages/kumquatfront/src/client/types.ts
+++ b/packages/kumquatfront/src/client/types.ts
@@ -1,49 +1,49 @@
 /**
- * What the caller helper is told and what it gives back. Times are milliseconds.
+ * Options and results of the caller client. Times are in milliseconds.
  */
 
-/** Settings of the helper. */
+/** Options of a caller client. */
 export interface CallerClientOptions {
-  /** Entries to begin with: `http://ip:port`. */
+  /** Addresses of the seed entries: `http://ip:port`. */
   readonly entries: readonly string[];
   readonly key: string;
-  /** Labels of every request, such as `traffic=report`. */
+  /** Labels sent with every request, such as `traffic=report`. */
   readonly labels: string;
-  /** Time without a byte after which another entry is tried. */
+  /** Time without received data after which another entry is tried. */
   readonly silenceLimit: number;
-  /** Time after which the helper gives up. */
+  /** Time after which no further attempt is made. */
   readonly deadline: number;
-  /** Whether a generation that broke off may be run again from the beginning. */
+  /** Whether an interrupted generation may be restarted from the beginning. */
   readonly restart: boolean;
 }
 
-/** What comes of a stream. */
+/** Statistics of a completed stream. */
 export interface StreamSummary {
   readonly tokens: number;
-  /** How often everything received was voided and begun again. */
+  /** Number of times the received tokens were discarded and the generation was restarted. */
   readonly restarts: number;
-  /** Connections after the first. */
+  /** Number of connections after the first. */
   readonly reconnects: number;
 }
 
-/** Receives a stream. */
+/** Callbacks of a stream. */
 export interface StreamReceiver {
-  /** One token's data, exactly once and in order. */
+  /** Called with the data of each token, exactly once and in order. */
   readonly onToken: (data: string) => void;
-  /** Everything received so far is void; the answer begins again. */
+  /** Called when all tokens received so far are discarded because the generation restarts. */
   readonly onRestart: () => void;
 }
 
-/** Why a request failed for good. */
+/** Reason for a request that failed permanently. */
 export interface ClientFailure {
   readonly kind: 'notRun' | 'outcomeUnknown' | 'interrupted' | 'invalid';
   readonly message: string;
 }
 
-/** Answer of a plain service. */
-export interface ClientAnswer {
+/** Response of a plain service. */
+export interface ServiceResponse {
   readonly status: number;
   readonly body: string;
-  /** True where the answer is that of an earlier run under the same key. */
-  readonly repeated: boolean;
+  /** True if this is the stored response to an earlier call with the same idempotency key. */
+  readonly replayed: boolean;
 }
--- a/packages/kumquatfront/src/configuration/configurationReplica.ts
+++ b/packages/kumquatfront/src/configuration/configurationReplica.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration as one entry has it in force. It pulls from control replicas, and from other entries
- * where it cannot reach control; what it applies only ever gets newer.
+ * Configuration replica of an entry. It pulls configuration from control replicas, and from other entries when
+ * control is unreachable, and never applies a version older than the current one.
  */
 import type * as agreedTypes from '../agreedState/types.js';
 import type * as controlClient from '../controlClient/controlClient.js';
@@ -12,15 +12,15 @@
 import type * as types from './types.js';
 import * as validation from './validation.js';
 
-/** Times in milliseconds. */
+/** Pull settings. Times are in milliseconds. */
 export interface ConfigurationReplicaSettings {
   readonly pullInterval: number;
   readonly pullTimeout: number;
-  /** Time without a fresh answer after which this entry counts itself as stale. */
+  /** Time without a fresh answer after which this entry considers itself stale. */
   readonly staleAfter: number;
 }
 
-/** What the replica is made from. */
+/** Dependencies and settings of a configuration replica. */
 export interface ConfigurationReplicaOptions {
   readonly settings: ConfigurationReplicaSettings;
   readonly control: controlClient.ControlClient;
@@ -29,22 +29,22 @@
   readonly random: ports.Random;
   readonly log: ports.Log;
   readonly presence: () => directory.EntryPresence;
-  /** Takes in which data centres are evacuated; called with ever higher revisions only. */
+  /** Called with the evacuated data centres; each call has a higher revision than the one before. */
   readonly onEvacuations: (evacuations: agreedTypes.Evacuations) => void;
-  /** Other entries, as the directory knows them. */
+  /** Entries currently listed in the directory. */
   readonly entries: () => readonly directory.EntryPresence[];
 }
 
-/** Pulls without an answer after which other entries are asked as well. */
-const PULLS_BEFORE_PEERS = 2;
+/** Number of pull intervals without a fresh answer after which other entries are pulled from as well. */
+const MISSED_PULLS_BEFORE_PEER_PULL = 2;
 
-/** The replica; see the module comment. */
+/** Pulls, stores and serves the configuration of one entry. */
 export class ConfigurationReplica {
   private readonly options: ConfigurationReplicaOptions;
   private objects = new Map<string, types.ConfigurationObject>();
   private version = -1;
   private clusterIdentity = '';
-  private freshAt = Number.NEGATIVE_INFINITY;
+  private lastFreshAt = Number.NEGATIVE_INFINITY;
   private evacuations: agreedTypes.Evacuations = { revision: 0, dataCentres: [] };
   private readonly listeners: (() => void)[] = [];
 
@@ -61,33 +61,36 @@
       this.pull();
     });
     peers.serve(methods.methods.pull, (parameters, reply) => {
-      reply(results.Ok(this.answerPeer(parameters as methods.PullRequest)));
+      reply(results.Ok(this.answerPeerPull(parameters as methods.PullRequest)));
     });
   }
 
-  /** Version in force; -1 before the first answer of a leader. */
+  /** Version of the configuration in force; -1 before the first answer from a leader. */
   get inForce(): number {
     return this.version;
   }
 
-  /** False until a leader has answered once: before that, what is in force elsewhere is not known. */
+  /** True once a leader has answered; until then the version in force on other entries is unknown. */
   isReady(): boolean {
     return this.version >= 0;
   }
 
-  /** True while control, or an entry that hears from it, has answered recently. */
+  /** True if control, or an entry in contact with control, has answered within `staleAfter`. */
   isFresh(): boolean {
-    return this.options.timers.now() - this.freshAt < this.options.settings.staleAfter;
+    return this.options.timers.now() - this.lastFreshAt < this.options.settings.staleAfter;
   }
 
+  /** Registers a listener that is called after each applied change. */
   onChange(listener: () => void): void {
     this.listeners.push(listener);
   }
 
+  /** Returns all objects of the configuration in force. */
   all(): readonly types.ConfigurationObject[] {
     return [...this.objects.values()];
   }
 
+  /** Returns the body of an object, or undefined if it is not configured. */
   find<Kind extends types.ConfigurationKind>(
     kind: Kind,
     name: string,
@@ -106,25 +109,28 @@
     };
     if (request.leaderOnly) {
       control.callLeader(methods.methods.pull, request, settings.pullTimeout, (result) => {
-        this.onAnswer(result);
+        this.applyAnswer(result);
       });
       return;
     }
-    this.pullFromAny(request, this.shuffledControl());
-    // Each silent control replica costs a whole timeout. Asking an entry beside them brings changes in while
-    // this entry alone is cut from control, long before it would have to call itself stale.
-    if (this.options.timers.now() - this.freshAt > settings.pullInterval * PULLS_BEFORE_PEERS) {
+    this.pullFromAny(request, this.rotatedControlAddresses());
+    // Each unresponsive control replica costs a full timeout. Pulling from another entry in parallel keeps this
+    // entry up to date when it alone is partitioned from control, before it becomes stale.
+    if (
+      this.options.timers.now() - this.lastFreshAt >
+      settings.pullInterval * MISSED_PULLS_BEFORE_PEER_PULL
+    ) {
       this.pullFromPeer(request);
     }
   }
 
-  private shuffledControl(): readonly string[] {
+  private rotatedControlAddresses(): readonly string[] {
     const addresses = [...this.options.control.addresses];
     const start = Math.floor(this.options.random.next() * addresses.length);
     return [...addresses.slice(start), ...addresses.slice(0, start)];
   }
 
-  /** Asks one replica after another: one that is cut off says that it is not fresh, and the next is asked. */
+  /** Pulls from the replicas in order until one gives a fresh answer; a partitioned replica answers as not fresh. */
   private pullFromAny(request: methods.PullRequest, addresses: readonly string[]): void {
     const [first, ...others] = addresses;
     if (first === undefined) {
@@ -132,7 +138,7 @@
     }
     const { peers, settings } = this.options;
     peers.request(first, methods.methods.pull, request, settings.pullTimeout, (result) => {
-      if (!this.onAnswer(result)) {
+      if (!this.applyAnswer(result)) {
         this.pullFromAny(request, others);
       }
     });
@@ -140,17 +146,17 @@
 
   private pullFromPeer(request: methods.PullRequest): void {
     const { peers, settings, random, entries, presence } = this.options;
-    const fresh = entries().filter((entry) => entry.state !== 'stale' && entry.name !== presence().name);
-    const peer = fresh[Math.floor(random.next() * fresh.length)];
+    const candidates = entries().filter((entry) => entry.state !== 'stale' && entry.name !== presence().name);
+    const peer = candidates[Math.floor(random.next() * candidates.length)];
     if (peer !== undefined) {
       const parameters = { ...request, presence: null };
       peers.request(peer.peerAddress, methods.methods.pull, parameters, settings.pullTimeout, (result) => {
-        this.onAnswer(result);
+        this.applyAnswer(result);
       });
     }
   }
 
-  private onAnswer(result: results.Result<unknown, unknown>): boolean {
+  private applyAnswer(result: results.Result<unknown, unknown>): boolean {
     if (result.err) {
       return false;
     }
@@ -158,31 +164,31 @@
     if (!answer.fresh) {
       return false;
     }
-    // Before the configuration: with the first one this entry begins to serve.
-    this.takeEvacuations(answer);
-    if (answer.delta !== undefined && !this.apply(answer.delta)) {
+    // Evacuations are applied first because the entry starts serving with its first configuration.
+    this.applyEvacuations(answer);
+    if (answer.delta !== undefined && !this.applyDelta(answer.delta)) {
       return false;
     }
-    this.freshAt = Math.max(this.freshAt, this.options.timers.now() - answer.age);
+    this.lastFreshAt = Math.max(this.lastFreshAt, this.options.timers.now() - answer.age);
     return true;
   }
 
-  private takeEvacuations({ evacuations }: methods.PullAnswer): void {
+  private applyEvacuations({ evacuations }: methods.PullAnswer): void {
     if (evacuations !== undefined && evacuations.revision > this.evacuations.revision) {
       this.evacuations = evacuations;
       this.options.onEvacuations(evacuations);
     }
   }
 
-  private apply(delta: types.ConfigurationDelta): boolean {
+  private applyDelta(delta: types.ConfigurationDelta): boolean {
     const { log } = this.options;
-    // Control that was founded anew counts from the beginning; taking its word would revert everything that
-    // operators were told is in force.
+    // A re-bootstrapped control cluster restarts its version numbers; applying its configuration would revert
+    // changes already acknowledged to operators.
     if (this.clusterIdentity !== '' && this.clusterIdentity !== delta.clusterIdentity) {
       log.error('otherCluster', { known: this.clusterIdentity, offered: delta.clusterIdentity });
       return false;
     }
-    // Answers can cross: an older one that arrives later must not undo a newer one.
+    // Answers can arrive out of order: an older version must not replace a newer one.
     if (delta.version <= this.version) {
       return true;
     }
@@ -203,17 +209,17 @@
     return true;
   }
 
-  private answerPeer(request: methods.PullRequest): methods.PullAnswer {
-    const fresh = this.isReady() && this.isFresh() && !request.leaderOnly;
-    // The age travels along: without it two entries that are both cut off would vouch for each other for ever.
-    const age = this.options.timers.now() - this.freshAt;
-    if (!fresh) {
-      return { fresh, age };
+  private answerPeerPull(request: methods.PullRequest): methods.PullAnswer {
+    const canAnswer = this.isReady() && this.isFresh() && !request.leaderOnly;
+    // The age is included so that two partitioned entries cannot keep each other fresh indefinitely.
+    const age = this.options.timers.now() - this.lastFreshAt;
+    if (!canAnswer) {
+      return { fresh: canAnswer, age };
     }
     const { clusterIdentity, version, evacuations } = this;
     const delta = { clusterIdentity, version, whole: true, objects: this.all(), deleted: [] };
     return {
-      fresh,
+      fresh: canAnswer,
       age,
       ...(request.version < version && { delta }),
       ...(request.evacuationRevision < evacuations.revision && { evacuations }),
--- a/packages/kumquatfront/src/configuration/types.ts
+++ b/packages/kumquatfront/src/configuration/types.ts
@@ -1,62 +1,62 @@
 /**
- * Objects that operators configure. Times are milliseconds, lengths are tokens.
+ * Types of the objects that operators configure. Times are in milliseconds, lengths in tokens.
  */
 
-/** Kinds of configured objects. */
+/** Kinds of configuration objects. */
 export type ConfigurationKind =
   'market' | 'clientAccount' | 'deployment' | 'selector' | 'limits' | 'objective';
 
-/** A market: labels that every request of its client accounts carries. */
+/** A market: labels added to every request of its client accounts. */
 export interface MarketBody {
   readonly labels: Readonly<Record<string, string>>;
 }
 
-/** A client account. Keys are kept only as SHA-256 hashes, in hexadecimal. */
+/** A client account. Keys are stored only as hexadecimal SHA-256 hashes. */
 export interface ClientAccountBody {
   readonly market: string;
   readonly keyHashes: readonly string[];
   readonly labels?: Readonly<Record<string, string>>;
-  /** Share in a contended queue against other accounts; 1 where absent. */
+  /** Weight relative to other client accounts in a contended queue; defaults to 1. */
   readonly weight?: number;
 }
 
-/** Upstreams that serve together, chosen by their labels. */
+/** A group of upstreams, selected by their labels. */
 export interface DeploymentBody {
   readonly kind: 'engine' | 'plainService';
-  /** Label selector over what upstreams announce. */
+  /** Label selector matched against the announced labels of upstreams. */
   readonly upstreams: string;
   readonly models?: readonly string[];
 }
 
-/** How urgent traffic is. */
+/** Urgency class of requests. */
 export type Urgency = 'urgent' | 'patient';
 
-/** Which traffic goes to which deployment, and how. */
+/** Routing rule: maps matching requests to a deployment. */
 export interface SelectorBody {
-  /** Label selector over request labels. */
+  /** Label selector matched against request labels. */
   readonly match: string;
-  /** The higher one wins; two that overlap must differ. */
+  /** The highest precedence wins; overlapping selectors must have different precedences. */
   readonly precedence: number;
   readonly deployment: string;
   readonly urgency: Urgency;
-  /** Model that is asked for, in place of what the caller named. */
+  /** Model to request, overriding the model named by the caller. */
   readonly model?: string;
   readonly adapter?: string;
-  /** For plain services; where absent the HTTP method decides. */
+  /** For plain services; derived from the HTTP method if absent. */
   readonly idempotent?: boolean;
-  /** What becomes of a generation whose upstream died after tokens were relayed; `interrupt` where absent. */
+  /** Handling of a generation whose upstream crashes after tokens were relayed; defaults to `interrupt`. */
   readonly onUpstreamDeath?: 'interrupt' | 'restart';
 }
 
-/** Bounds of the serving policy; one object named `default`. */
+/** Queue and retry limits; a single object named `default`. */
 export interface LimitsBody {
   readonly queuePerAccount?: number;
   readonly queueTotal?: number;
-  /** Retries allowed for each hundred requests of an account. */
+  /** Retries allowed per hundred requests of a client account. */
   readonly retryPercent?: number;
 }
 
-/** A service-level objective: `share` of the calls of a class stay under `threshold` milliseconds. */
+/** A service-level objective: `share` of the requests of a class stay within `threshold` milliseconds. */
 export interface ObjectiveBody {
   readonly measure: 'stall' | 'firstToken' | 'betweenTokens' | 'whole';
   readonly urgency: Urgency;
@@ -64,7 +64,7 @@
   readonly share: number;
 }
 
-/** Body by kind. */
+/** Body type of each object kind. */
 export interface ConfigurationBodies {
   readonly market: MarketBody;
   readonly clientAccount: ClientAccountBody;
@@ -74,7 +74,7 @@
   readonly objective: ObjectiveBody;
 }
 
-/** A configured object of any kind, with the version of its last change. */
+/** A configuration object of any kind, with the version of its last change. */
 export type ConfigurationObject = {
   [Kind in ConfigurationKind]: {
     readonly kind: Kind;
@@ -84,14 +84,14 @@
   };
 }[ConfigurationKind];
 
-/** An object as an operator writes it, before it has a version. */
+/** An object as submitted by an operator, before validation and without a version. */
 export interface ConfigurationDraft {
   readonly kind: ConfigurationKind;
   readonly name: string;
   readonly body: unknown;
 }
 
-/** What one pull brings: everything after a version, or the whole where that is no longer known. */
+/** Result of a pull: the changes since a version, or the full configuration if those are no longer retained. */
 export interface ConfigurationDelta {
   readonly clusterIdentity: string;
   readonly version: number;
--- a/packages/kumquatfront/src/configuration/validation.ts
+++ b/packages/kumquatfront/src/configuration/validation.ts
@@ -1,5 +1,5 @@
 /**
- * Checks of configured objects: their shape by schema, then what they refer to and what they clash with.
+ * Validates configuration objects: their structure against a schema, then their references and conflicts.
  */
 import * as ajv from 'ajv';
 
@@ -9,82 +9,85 @@
 import * as schemaFailures from '../utils/schemaFailures.js';
 import type * as types from './types.js';
 
-const labels = {
+const labelsSchema = {
   type: 'object',
   additionalProperties: { type: 'string', maxLength: 128 },
   maxProperties: 32,
 };
-const labelText = { type: 'string', maxLength: 1024 };
-const positive = { type: 'number', exclusiveMinimum: 0 };
-const urgency = { enum: ['urgent', 'patient'] };
-
-function object(required: readonly string[], properties: Readonly<Record<string, unknown>>): ajv.AnySchema {
+const selectorTextSchema = { type: 'string', maxLength: 1024 };
+const positiveNumberSchema = { type: 'number', exclusiveMinimum: 0 };
+const urgencySchema = { enum: ['urgent', 'patient'] };
+
+function objectSchema(
+  required: readonly string[],
+  properties: Readonly<Record<string, unknown>>,
+): ajv.AnySchema {
   return { type: 'object', additionalProperties: false, required, properties };
 }
 
 const SCHEMAS: Readonly<Record<types.ConfigurationKind, ajv.AnySchema>> = {
-  market: object(['labels'], { labels }),
-  clientAccount: object(['market', 'keyHashes'], {
+  market: objectSchema(['labels'], { labels: labelsSchema }),
+  clientAccount: objectSchema(['market', 'keyHashes'], {
     market: { type: 'string' },
     keyHashes: { type: 'array', maxItems: 8, items: { type: 'string', pattern: '^[0-9a-f]{64}$' } },
-    labels,
-    weight: positive,
+    labels: labelsSchema,
+    weight: positiveNumberSchema,
   }),
-  deployment: object(['kind', 'upstreams'], {
+  deployment: objectSchema(['kind', 'upstreams'], {
     kind: { enum: ['engine', 'plainService'] },
-    upstreams: labelText,
+    upstreams: selectorTextSchema,
     models: { type: 'array', items: { type: 'string' }, maxItems: 256 },
   }),
-  selector: object(['match', 'precedence', 'deployment', 'urgency'], {
-    match: labelText,
+  selector: objectSchema(['match', 'precedence', 'deployment', 'urgency'], {
+    match: selectorTextSchema,
     precedence: { type: 'integer', minimum: 0 },
     deployment: { type: 'string' },
-    urgency,
+    urgency: urgencySchema,
     model: { type: 'string' },
     adapter: { type: 'string' },
     idempotent: { type: 'boolean' },
     onUpstreamDeath: { enum: ['interrupt', 'restart'] },
   }),
-  limits: object([], {
-    queuePerAccount: positive,
-    queueTotal: positive,
+  limits: objectSchema([], {
+    queuePerAccount: positiveNumberSchema,
+    queueTotal: positiveNumberSchema,
     retryPercent: { type: 'number', minimum: 0 },
   }),
-  objective: object(['measure', 'urgency', 'threshold', 'share'], {
+  objective: objectSchema(['measure', 'urgency', 'threshold', 'share'], {
     measure: { enum: ['stall', 'firstToken', 'betweenTokens', 'whole'] },
-    urgency,
-    threshold: positive,
+    urgency: urgencySchema,
+    threshold: positiveNumberSchema,
     share: { type: 'number', exclusiveMinimum: 0, exclusiveMaximum: 1 },
   }),
 };
 
-const NAME = /^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$/;
+const NAME_PATTERN = /^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$/;
 
-type Kinds = ReadonlyMap<string, ajv.ValidateFunction>;
-let compiledKinds: Kinds | undefined;
+type ValidatorsByKind = ReadonlyMap<string, ajv.ValidateFunction>;
+let cachedValidators: ValidatorsByKind | undefined;
 
 /**
- * The compiled schemas. Compiling takes 60 ms, half of the start of a process, so it waits for the first draft:
- * after a crash of all control replicas every entry waits for them to be back.
+ * Returns the compiled schemas. They are compiled on first use because compilation would delay process
+ * startup, and with it the recovery after a crash of all control replicas.
  */
-function validators(): Kinds {
-  if (compiledKinds === undefined) {
+function validators(): ValidatorsByKind {
+  if (cachedValidators === undefined) {
     const compiler = new ajv.Ajv({ allErrors: false, strict: true });
-    compiledKinds = new Map(
+    cachedValidators = new Map(
       Object.entries(SCHEMAS).map(([kind, schema]) => [kind, compiler.compile(schema)]),
     );
   }
-  return compiledKinds;
+  return cachedValidators;
 }
 
-/** Key of an object among all kinds. */
+/** Key that identifies an object across all kinds: `kind/name`. */
 export type ObjectKey = string;
 
 /**
- * Key of an object.
+ * Returns the key of an object.
  *
- * @param kind - its kind
- * @param name - its name
+ * @param kind - kind of the object
+ * @param name - name of the object
  * @returns `kind/name`
  * @example
  * ```ts
@@ -96,10 +99,10 @@
 }
 
 /**
- * Checks the shape of a draft.
+ * Validates a draft against the schema of its kind.
  *
- * @param draft - what the operator sent, of unknown shape
- * @returns the draft typed, or a `badInput` failure that names the key at fault and the remedy
+ * @param draft - the object submitted by the operator, not yet validated
+ * @returns the draft, or a `badInput` failure that names the invalid key and the remedy
  * @example
  * ```ts
  * validation.checkShape({ kind: 'market', name: 'wa-perth', body: { labels: { market: 'wa-perth' } } });
@@ -111,12 +114,12 @@
   const validate = validators().get(draft.kind);
   if (validate === undefined) {
     const remedy = `Use one of ${Object.keys(SCHEMAS).join(', ')}.`;
-    return results.Err(failures.create('badInput', `There is no kind "${draft.kind}".`, remedy));
+    return results.Err(failures.create('badInput', `Unknown object kind "${draft.kind}".`, remedy));
   }
-  if (!NAME.test(draft.name)) {
+  if (!NAME_PATTERN.test(draft.name)) {
     const remedy =
-      'Use up to 63 letters, digits, dots, dashes and underscores, beginning with a letter or digit.';
-    return results.Err(failures.create('badInput', `The name "${draft.name}" is not allowed.`, remedy));
+      'Use up to 63 letters, digits, dots, hyphens and underscores, starting with a letter or digit.';
+    return results.Err(failures.create('badInput', `Invalid object name "${draft.name}".`, remedy));
   }
   if (!validate(draft.body)) {
     return results.Err(schemaFailures.describe(`${draft.kind} ${draft.name}`, validate.errors ?? []));
@@ -124,14 +127,14 @@
   return results.Ok(draft);
 }
 
-/** Finds a configured object by key. */
+/** Looks up a configuration object by key. */
 export type ObjectLookup = (key: ObjectKey) => types.ConfigurationObject | undefined;
 
-function missing(kind: string, name: string): failures.Failure {
+function missingReference(kind: string, name: string): failures.Failure {
   return failures.create(
     'badInput',
-    `There is no ${kind} "${name}".`,
-    `Apply the ${kind} first, in the same file or before.`,
+    `The ${kind} "${name}" does not exist.`,
+    `Apply the ${kind} first, or earlier in the same file.`,
   );
 }
 
@@ -146,16 +149,16 @@
     return parsed;
   }
   if (lookup(keyOf('deployment', body.deployment)) === undefined) {
-    return results.Err(missing('deployment', body.deployment));
+    return results.Err(missingReference('deployment', body.deployment));
   }
   for (const other of others) {
     if (other.kind !== 'selector' || other.name === name || other.body.precedence !== body.precedence) {
       continue;
     }
     const otherParsed = labelSelector.parse(other.body.match);
-    if (otherParsed.ok && labelSelector.overlap(parsed.val, otherParsed.val)) {
+    if (otherParsed.ok && labelSelector.overlaps(parsed.val, otherParsed.val)) {
       const message = `Selectors ${name} and ${other.name} can match the same request at precedence ${body.precedence}.`;
-      const remedy = 'Give one of them a higher precedence, or narrow one of them.';
+      const remedy = 'Assign different precedences, or narrow one of the selectors.';
       return results.Err(failures.create('ambiguous', message, remedy, { other: other.name }));
     }
   }
@@ -163,12 +166,13 @@
 }
 
 /**
- * Checks what a draft refers to and what it clashes with. Deterministic, as every replica runs it.
+ * Checks the references of a draft and its conflicts with other objects. Must be deterministic because every
+ * control replica runs it.
  *
- * @param draft - a draft of sound shape
- * @param lookup - finds a configured object by its key
- * @param all - every configured object
- * @returns nothing, or a failure that names the remedy
+ * @param draft - a draft that passed `checkShape`
+ * @param lookup - looks up a configuration object by key
+ * @param all - all configuration objects
+ * @returns null, or a failure that names the remedy
  * @example
  * ```ts
  * validation.checkReferences(draft, (key) => objects.get(key), objects.values());
@@ -183,7 +187,7 @@
     case 'clientAccount': {
       const { market } = draft.body as types.ClientAccountBody;
       return lookup(keyOf('market', market)) === undefined
-        ? results.Err(missing('market', market))
+        ? results.Err(missingReference('market', market))
         : results.Ok(null);
     }
     case 'deployment':
@@ -205,11 +209,11 @@
 }
 
 /**
- * Checks that nothing refers to an object that is to be deleted.
+ * Checks that no other object refers to an object to be deleted.
  *
- * @param key - the object
- * @param all - every configured object
- * @returns nothing, or a `conflict` failure that names who refers to it
+ * @param key - key of the object to delete
+ * @param all - all configuration objects
+ * @returns null, or a `conflict` failure that names the referring object
  * @example
  * ```ts
  * validation.checkDeletion('market/wa-perth', objects.values());
--- a/packages/kumquatfront/src/selectors/labelSelector.spec.ts
+++ b/packages/kumquatfront/src/selectors/labelSelector.spec.ts
@@ -3,7 +3,7 @@
 
 import * as labelSelector from './labelSelector.js';
 
-void test.test('a selector matches by equality, sets, presence and absence', () => {
+void test.test('a selector supports equality, set, existence and absence requirements', () => {
   const selector = labelSelector
     .parse('market=wa-perth,traffic in (balance, stock),!trial,tier!=free')
     .unwrap();
@@ -14,12 +14,12 @@
   assert.equal(labelSelector.matches(selector, { ...labels, tier: 'free' }), false);
 });
 
-void test.test('a label named like a property of every object is not taken for one', () => {
+void test.test('an inherited object property is not treated as a label', () => {
   const selector = labelSelector.parse('constructor').unwrap();
   assert.equal(labelSelector.matches(selector, {}), false);
 });
 
-void test.test('an unreadable term is refused by name, with the remedy', () => {
+void test.test('an invalid term is rejected with a remedy', () => {
   for (const text of ['market==', 'a in (b', 'a in ()', '=b', 'a b']) {
     const parsed = labelSelector.parse(text);
     assert.ok(parsed.err, text);
@@ -27,7 +27,7 @@
   }
 });
 
-void test.test('overlap is found exactly where one request can match both', () => {
+void test.test('selectors overlap if and only if one request can match both', () => {
   const cases: readonly (readonly [string, string, boolean])[] = [
     ['traffic=report', 'market=wa-perth', true],
     ['traffic=report', 'traffic=balance', false],
@@ -38,7 +38,7 @@
     ['', 'traffic=report', true],
   ];
   for (const [left, right, expected] of cases) {
-    const overlap = labelSelector.overlap(
+    const overlap = labelSelector.overlaps(
       labelSelector.parse(left).unwrap(),
       labelSelector.parse(right).unwrap(),
     );
--- a/packages/kumquatfront/src/selectors/labelSelector.ts
+++ b/packages/kumquatfront/src/selectors/labelSelector.ts
@@ -1,5 +1,5 @@
 /**
- * Label selectors in the syntax operators know: `market=wa-perth,traffic in (balance,stock),!trial`.
+ * Label selectors with equality, set and existence terms: `market=wa-perth,traffic in (balance,stock),!trial`.
  */
 import * as failures from '../kernel/failures.js';
 import * as results from '../kernel/results.js';
@@ -7,22 +7,22 @@
 /** Labels of a request or of an upstream. */
 export type Labels = Readonly<Record<string, string>>;
 
-/** One condition on one label. */
+/** A condition on a single label. */
 export interface Requirement {
   readonly key: string;
   readonly operator: 'in' | 'notIn' | 'exists' | 'absent';
   readonly values: readonly string[];
 }
 
-/** All requirements must hold; an empty list matches everything. */
+/** A conjunction of requirements; an empty list matches all labels. */
 export type LabelSelector = readonly Requirement[];
 
-const KEY = '[A-Za-z0-9][A-Za-z0-9._/-]*';
-const VALUE = '[A-Za-z0-9][A-Za-z0-9._-]*';
-const SET_FORM = new RegExp(`^(${KEY})\\s+(in|notin)\\s*\\(([^()]*)\\)$`);
-const EQUALITY_FORM = new RegExp(`^(${KEY})\\s*(==|=|!=)\\s*(${VALUE})$`);
-const EXISTS_FORM = new RegExp(`^(!?)\\s*(${KEY})$`);
-const WHOLE_VALUE = new RegExp(`^${VALUE}$`);
+const KEY_SYNTAX = '[A-Za-z0-9][A-Za-z0-9._/-]*';
+const VALUE_SYNTAX = '[A-Za-z0-9][A-Za-z0-9._-]*';
+const SET_PATTERN = new RegExp(`^(${KEY_SYNTAX})\\s+(in|notin)\\s*\\(([^()]*)\\)$`);
+const EQUALITY_PATTERN = new RegExp(`^(${KEY_SYNTAX})\\s*(==|=|!=)\\s*(${VALUE_SYNTAX})$`);
+const EXISTENCE_PATTERN = new RegExp(`^(!?)\\s*(${KEY_SYNTAX})$`);
+const VALUE_PATTERN = new RegExp(`^${VALUE_SYNTAX}$`);
 const MAXIMUM_LENGTH = 1024;
 
 function splitTerms(text: string): string[] {
@@ -44,22 +44,22 @@
 }
 
 function parseTerm(term: string): Requirement | undefined {
-  const equality = EQUALITY_FORM.exec(term);
+  const equality = EQUALITY_PATTERN.exec(term);
   if (equality !== null) {
     const [, key = '', sign = '', value = ''] = equality;
     return { key, operator: sign === '!=' ? 'notIn' : 'in', values: [value] };
   }
-  const set = SET_FORM.exec(term);
+  const set = SET_PATTERN.exec(term);
   if (set !== null) {
-    const [, key = '', word = '', list = ''] = set;
+    const [, key = '', keyword = '', list = ''] = set;
     const values = list.split(',').map((value) => value.trim());
-    const sound = values.every((value) => WHOLE_VALUE.test(value));
-    return sound ? { key, operator: word === 'in' ? 'in' : 'notIn', values } : undefined;
+    const valid = values.every((value) => VALUE_PATTERN.test(value));
+    return valid ? { key, operator: keyword === 'in' ? 'in' : 'notIn', values } : undefined;
   }
-  const exists = EXISTS_FORM.exec(term);
+  const exists = EXISTENCE_PATTERN.exec(term);
   if (exists !== null) {
-    const [, bang = '', key = ''] = exists;
-    return { key, operator: bang === '!' ? 'absent' : 'exists', values: [] };
+    const [, negation = '', key = ''] = exists;
+    return { key, operator: negation === '!' ? 'absent' : 'exists', values: [] };
   }
   return undefined;
 }
@@ -67,8 +67,8 @@
 /**
  * Parses a label selector.
  *
- * @param text - the selector; an empty text matches everything
- * @returns the requirements, or a `badInput` failure that names the term at fault
+ * @param text - the selector; an empty string matches all labels
+ * @returns the requirements, or a `badInput` failure that names the invalid term
  * @example
  * ```ts
  * labelSelector.parse('market=wa-perth,traffic in (balance,stock)');
@@ -76,25 +76,23 @@
  */
 export function parse(text: string): results.Result<LabelSelector, failures.Failure> {
   if (text.length > MAXIMUM_LENGTH) {
-    const remedy = `Shorten it to ${MAXIMUM_LENGTH} characters or split it into several selectors.`;
-    return results.Err(failures.create('badInput', 'The selector is too long.', remedy));
+    const remedy = `Shorten the selector to ${MAXIMUM_LENGTH} characters or split it into several selectors.`;
+    return results.Err(failures.create('badInput', 'The label selector is too long.', remedy));
   }
   const requirements: Requirement[] = [];
   for (const term of text.trim() === '' ? [] : splitTerms(text)) {
     const requirement = parseTerm(term);
     if (requirement === undefined) {
       const remedy =
-        'Write key=value, key!=value, key in (a,b), key notin (a,b), key or !key, separated by commas.';
-      return results.Err(
-        failures.create('badInput', `The selector term "${term}" is not understood.`, remedy),
-      );
+        'Use key=value, key!=value, key in (a,b), key notin (a,b), key or !key, separated by commas.';
+      return results.Err(failures.create('badInput', `Invalid label selector term "${term}".`, remedy));
     }
     requirements.push(requirement);
   }
   return results.Ok(requirements);
 }
 
-function holds(requirement: Requirement, labels: Labels): boolean {
+function isSatisfied(requirement: Requirement, labels: Labels): boolean {
   const value = Object.hasOwn(labels, requirement.key) ? labels[requirement.key] : undefined;
   switch (requirement.operator) {
     case 'in':
@@ -109,46 +107,47 @@
 }
 
 /**
- * Tells whether labels satisfy a selector.
+ * Checks whether labels satisfy a selector.
  *
  * @param selector - a parsed selector
- * @param labels - the labels
- * @returns true when every requirement holds
+ * @param labels - labels of a request or of an upstream
+ * @returns true if every requirement is satisfied
  * @example
  * ```ts
  * labelSelector.matches(selector, { market: 'wa-perth', traffic: 'balance' });
  * ```
  */
 export function matches(selector: LabelSelector, labels: Labels): boolean {
-  return selector.every((requirement) => holds(requirement, labels));
+  return selector.every((requirement) => isSatisfied(requirement, labels));
 }
 
-function candidatesOf(requirements: readonly Requirement[]): (string | undefined)[] {
-  const named = requirements.flatMap((requirement) => requirement.values);
-  // Beside the values that are named, one value that nobody names and the missing label stand for the rest.
-  return [...named, '\u0000other', undefined];
+function candidateValues(requirements: readonly Requirement[]): (string | undefined)[] {
+  const listedValues = requirements.flatMap((requirement) => requirement.values);
+  // One value outside the list and the missing label represent all remaining cases.
+  return [...listedValues, '\u0000other', undefined];
 }
 
 /**
- * Tells whether some labels satisfy both selectors. Requirements on different keys are independent, so it
- * is enough to try, for each key, the values that either selector names, one other value, and no label.
+ * Checks whether any set of labels satisfies both selectors. Requirements on different keys are independent,
+ * so it is sufficient to test, for each key, the values listed in either selector, one unlisted value, and no
+ * label.
  *
  * @param left - a parsed selector
- * @param right - another
- * @returns true when they can match the same request
+ * @param right - another parsed selector
+ * @returns true if both selectors can match the same request
  * @example
  * ```ts
- * labelSelector.overlap(balances, urgentCalls);
+ * labelSelector.overlaps(balances, urgentCalls);
  * ```
  */
-export function overlap(left: LabelSelector, right: LabelSelector): boolean {
+export function overlaps(left: LabelSelector, right: LabelSelector): boolean {
   const all = [...left, ...right];
   const keys = new Set(all.map((requirement) => requirement.key));
   return [...keys].every((key) => {
     const onKey = all.filter((requirement) => requirement.key === key);
-    return candidatesOf(onKey).some((value) => {
+    return candidateValues(onKey).some((value) => {
       const labels: Labels = value === undefined ? {} : { [key]: value };
-      return onKey.every((requirement) => holds(requirement, labels));
+      return onKey.every((requirement) => isSatisfied(requirement, labels));
     });
   });
 }
--- a/packages/kumquatfront/src/selectors/trafficResolver.ts
+++ b/packages/kumquatfront/src/selectors/trafficResolver.ts
@@ -1,5 +1,5 @@
 /**
- * From a caller's key and labels to the selector that governs the request.
+ * Resolves a caller's key to its client account and the labels of a request to its route.
  */
 import * as crypto from 'node:crypto';
 
@@ -8,14 +8,14 @@
 import * as results from '../kernel/results.js';
 import * as labelSelector from './labelSelector.js';
 
-/** A client account that was recognised. */
+/** An authenticated client account with the labels of its requests. */
 export interface ResolvedAccount {
   readonly name: string;
   readonly body: configuration.ClientAccountBody;
   readonly labels: labelSelector.Labels;
 }
 
-/** The route of a request. */
+/** The selector and the deployment that apply to a request. */
 export interface Route {
   readonly selectorName: string;
   readonly selector: configuration.SelectorBody;
@@ -27,15 +27,15 @@
   readonly match: labelSelector.LabelSelector;
 }
 
-const HEADER_LABEL = /^([A-Za-z0-9][A-Za-z0-9._/-]{0,62})=([A-Za-z0-9][A-Za-z0-9._-]{0,62})$/;
+const HEADER_LABEL_PATTERN = /^([A-Za-z0-9][A-Za-z0-9._/-]{0,62})=([A-Za-z0-9][A-Za-z0-9._-]{0,62})$/;
 const MAXIMUM_HEADER_LABELS = 16;
 const DEFAULT_WEIGHT = 1;
 
 /**
- * Hash under which a bearer key is configured.
+ * Returns the hash under which a bearer key is configured.
  *
- * @param key - the key as the caller sends it
- * @returns SHA-256 in hexadecimal
+ * @param key - the key sent by the caller
+ * @returns the hexadecimal SHA-256 hash of the key
  * @example
  * ```ts
  * trafficResolver.hashKey('school-1-key');
@@ -46,10 +46,10 @@
 }
 
 /**
- * Parses the labels that a caller sends in a header.
+ * Parses the request labels in a header.
  *
- * @param header - `traffic=balance,urgent-desk=3`, or undefined
- * @returns the labels, or a `badInput` failure that names the one at fault
+ * @param header - header value such as `traffic=balance,urgent-desk=3`, or undefined
+ * @returns the labels, or a `badInput` failure that names the invalid label
  * @example
  * ```ts
  * trafficResolver.parseHeaderLabels('traffic=balance');
@@ -61,16 +61,14 @@
   const labels: Record<string, string> = {};
   const parts = header === undefined || header.trim() === '' ? [] : header.split(',');
   if (parts.length > MAXIMUM_HEADER_LABELS) {
-    const remedy = `Send at most ${MAXIMUM_HEADER_LABELS}.`;
-    return results.Err(failures.create('badInput', 'There are too many labels.', remedy));
+    const remedy = `Send at most ${MAXIMUM_HEADER_LABELS} labels.`;
+    return results.Err(failures.create('badInput', 'The request has too many labels.', remedy));
   }
   for (const part of parts) {
-    const match = HEADER_LABEL.exec(part.trim());
+    const match = HEADER_LABEL_PATTERN.exec(part.trim());
     if (match === null) {
-      const remedy = 'Send key=value pairs separated by commas in Kumquatfront-Labels.';
-      return results.Err(
-        failures.create('badInput', `The label "${part.trim()}" is not understood.`, remedy),
-      );
+      const remedy = 'Send comma-separated key=value pairs in the Kumquatfront-Labels header.';
+      return results.Err(failures.create('badInput', `Invalid label "${part.trim()}".`, remedy));
     }
     const [, key = '', value = ''] = match;
     labels[key] = value;
@@ -78,13 +76,13 @@
   return results.Ok(labels);
 }
 
-/** Accounts and selectors, compiled from one version of the configuration. */
+/** Resolves client accounts and routes by one version of the configuration. */
 export class TrafficResolver {
   private accounts = new Map<string, ResolvedAccount>();
   private weights = new Map<string, number>();
   private selectors: CompiledSelector[] = [];
 
-  /** Compiles a version of the configuration. */
+  /** Replaces the accounts and selectors by those of a version of the configuration. */
   update(objects: readonly configuration.ConfigurationObject[]): void {
     const markets = new Map<string, labelSelector.Labels>();
     const deployments = new Map<string, configuration.DeploymentBody>();
@@ -132,19 +130,19 @@
   }
 
   /**
-   * Finds the account of a bearer key. The look-up goes by hash: its time tells nothing of the key itself,
-   * since whoever guesses cannot choose what the guess hashes to.
+   * Returns the client account of a bearer key. The lookup uses the hash of the key: an attacker cannot
+   * choose the hash of a guess, so the timing of the lookup reveals nothing about the key.
    */
   account(key: string): ResolvedAccount | undefined {
     return this.accounts.get(hashKey(key));
   }
 
-  /** Weight of an account in contended queues; asked at every turn of a queue. */
+  /** Returns the weight of a client account in contended queues. */
   weightOf(name: string): number {
     return this.weights.get(name) ?? DEFAULT_WEIGHT;
   }
 
-  /** The selector of highest precedence that matches. */
+  /** Returns the route of the matching selector with the highest precedence. */
   route(labels: labelSelector.Labels): Route | undefined {
     return this.selectors.find((compiled) => labelSelector.matches(compiled.match, labels))?.route;
   }
--- a/packages/kumquatfront/src/settings/defaultConfig.ts
+++ b/packages/kumquatfront/src/settings/defaultConfig.ts
@@ -1,5 +1,5 @@
 /**
- * Every default of the settings, in one place. Times are milliseconds.
+ * Default values of the settings. Times are in milliseconds.
  */
 import * as coordinatedPlacement from '../admission/coordinatedPlacement.js';
 import * as headroom from '../admission/headroom.js';
@@ -7,7 +7,7 @@
 import type * as controlNode from '../controlNode/controlNode.js';
 import type * as entryTypes from '../entryNode/types.js';
 
-/** Defaults of an entry. */
+/** Default settings of an entry. */
 export const entryDefaults: Pick<
   entryTypes.EntrySettings,
   | 'entries'
@@ -41,7 +41,7 @@
   addressLife: 10_000,
 };
 
-/** Defaults of a control replica. */
+/** Default settings of a control replica. */
 export const controlDefaults: Pick<
   controlNode.ControlSettings,
   'timing' | 'limits' | 'orders' | 'entryLease'
--- a/packages/kumquatfront/src/settings/generatedSettings.ts
+++ b/packages/kumquatfront/src/settings/generatedSettings.ts
@@ -9,7 +9,7 @@
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error' | 'silent';
 
 /**
- * Settings of a kumquatfront process. Times are milliseconds, addresses are ip:port.
+ * Settings of a kumquatfront process. Times are in milliseconds; addresses are ip:port.
  */
 export interface KumquatfrontSettings {
   entry?: EntryFile;
@@ -25,15 +25,15 @@
    */
   dataCentre: string;
   /**
-   * Where callers and upstreams connect
+   * Listen address for callers and upstreams
    */
   callerAddress: string;
   /**
-   * Where other processes of the system connect
+   * Listen address for other processes of the cluster
    */
   peerAddress: string;
   /**
-   * Peer addresses of other entries to begin with
+   * Peer addresses of seed entries, contacted at startup
    */
   entries?: Address[];
   /**
@@ -43,133 +43,133 @@
    */
   control: [Address, ...Address[]];
   /**
-   * Key that all processes of the system share
+   * Shared key that authenticates the processes of the cluster to each other
    */
   clusterKey: string;
   /**
-   * Key that signs resume tokens; the same on every entry
+   * Key that signs resume tokens; must be identical on every entry
    */
   signingKey: string;
   /**
-   * SHA-256 of the key that upstreams announce themselves with
+   * SHA-256 of the key that authenticates announcements of upstreams
    */
   upstreamKeyHash: string;
   logLevel?: LogLevel;
   metrics?: Metrics;
   directory?: {
     /**
-     * Time between exchanges with other entries
+     * Interval between gossip rounds
      */
     round?: number;
     /**
-     * Entries asked in each exchange
+     * Number of entries contacted in each gossip round
      */
     fanout?: number;
     /**
-     * Time news is kept
+     * Retention time of directory updates
      */
     keepFor?: number;
     /**
-     * Silence after which another entry counts as gone
+     * Time without a presence update after which an entry is removed from the directory
      */
     presenceLease?: number;
   };
   configuration?: {
     /**
-     * Time between pulls of the configuration
+     * Interval between configuration pulls
      */
     pullInterval?: number;
     /**
-     * Time a replica has to answer a pull
+     * Timeout of a configuration pull
      */
     pullTimeout?: number;
     /**
-     * Time without control after which the entry says that it is stale
+     * Time without a fresh answer from control after which the entry reports itself as stale
      */
     staleAfter?: number;
   };
   claims?: {
     /**
-     * Time over which claims are gathered
+     * Time window in which claims are batched
      */
     batchWindow?: number;
     /**
-     * Time within which a claim must be recorded
+     * Deadline for recording a claim
      */
     claimDeadline?: number;
     /**
-     * Time for which an outcome is offered to control
+     * Deadline for reporting the outcome of a claim to control
      */
     settleDeadline?: number;
   };
   relay?: {
     /**
-     * Silence after which the engine is asked again
+     * Idle time after which the stream is requested from the engine again
      */
     stallTimeout?: number;
     /**
-     * Time an engine has to accept a request
+     * Time limit for an engine to accept a request
      */
     openTimeout?: number;
     /**
-     * Silence after which a generation is given up
+     * Idle time after which a generation is aborted
      */
     silenceLimit?: number;
     /**
-     * Pause before a resumption, times the number of tries
+     * Delay before a resumption, multiplied by the number of attempts
      */
     resumePause?: number;
     /**
-     * Time a generation is kept for a caller that went away
+     * Time for which a generation is retained after its caller disconnects
      */
     resumeGrace?: number;
     /**
-     * Resumptions without a token before an engine is given up
+     * Maximum number of resumptions without a token before the engine is abandoned
      */
     resumeLimit?: number;
     /**
-     * Generations of one request at most
+     * Maximum number of generations of one request
      */
     generationLimit?: number;
   };
   headroom?: {
     /**
-     * Share of an engine's memory kept from patient work
+     * Share of an engine's memory reserved for urgent requests
      */
     reservedMemory?: number;
     /**
-     * Share of an engine's slots kept from patient work
+     * Share of an engine's slots reserved for urgent requests
      */
     reservedSlots?: number;
     /**
-     * Standard deviations above the mean that the forecast of memory reckons with
+     * Standard deviations above the mean used in the memory forecast
      */
     deviations?: number;
   };
   coordination?: {
     /**
-     * Engines that one entry coordinates at most
+     * Maximum number of engines that one entry coordinates
      */
     groupSize?: number;
     /**
-     * Time between asks for a place, and between reports of progress
+     * Interval between placement requests and between progress reports
      */
     interval?: number;
     /**
-     * Time a coordinator has to answer before an entry places alone
+     * Timeout of a placement request, after which the entry places the request locally
      */
     askTimeout?: number;
   };
   /**
-   * Time a plain service has to answer
+   * Response timeout of plain services
    */
   serviceTimeout?: number;
   /**
-   * Time a request waits for an upstream to announce itself
+   * Maximum time a request waits for an upstream to be announced
    */
   upstreamWait?: number;
   /**
-   * Time for which callers may keep a list of addresses
+   * Time for which callers may cache the list of entry addresses
    */
   addressLife?: number;
 }
@@ -198,7 +198,7 @@
    */
   peerAddress: string;
   /**
-   * Peer addresses of every control VM, this one included
+   * Peer addresses of all control VMs, including this one
    *
    * @minItems 1
    * @maxItems 7
@@ -212,7 +212,7 @@
     | [Address, Address, Address, Address, Address, Address]
     | [Address, Address, Address, Address, Address, Address, Address];
   /**
-   * Key that all processes of the system share
+   * Shared key that authenticates the processes of the cluster to each other
    */
   clusterKey: string;
   /**
@@ -220,83 +220,83 @@
    */
   operatorKeyHash: string;
   /**
-   * Folder for the agreed state, on a disk
+   * Directory for the persistent replicated state
    */
   dataFolder: string;
   logLevel?: LogLevel;
   metrics?: Metrics;
   timing?: {
     /**
-     * Time between the leader's heartbeats
+     * Interval between heartbeats of the leader
      */
     heartbeat?: number;
     /**
-     * Silence of the leader after which another is elected
+     * Time without a heartbeat after which a new leader is elected
      */
     electionTimeout?: number;
     /**
-     * Share of the election timeout that a leader trusts
+     * Duration of the leader lease as a share of the election timeout
      */
     leaseShare?: number;
     /**
-     * Log entries between snapshots
+     * Number of log entries between snapshots
      */
     snapshotEvery?: number;
     /**
-     * Characters of a snapshot in one message
+     * Maximum number of snapshot characters in one message
      */
     snapshotPieceLength?: number;
     /**
-     * Log entries in one message
+     * Maximum number of log entries in one message
      */
     appendLimit?: number;
   };
   limits?: {
     /**
-     * Time for which a change id gets its first answer again
+     * Time for which a repeated change id receives the original response
      */
     changeIdLife?: number;
     /**
-     * Time for which a claim is kept
+     * Retention time of a claim
      */
     claimLife?: number;
     /**
-     * Claims kept for one client account
+     * Maximum number of claims retained for one client account
      */
     claimsPerAccount?: number;
     /**
-     * Deleted objects remembered for partial pulls
+     * Number of deleted objects retained for incremental pulls
      */
     tombstones?: number;
     /**
-     * Finished orders remembered
+     * Number of finished orders retained
      */
     finishedOrders?: number;
     /**
-     * Contents kept from upstreams at once
+     * Maximum number of contents in quarantine
      */
     quarantined?: number;
   };
   orders?: {
     /**
-     * Longest time an order can be on its way
+     * Maximum time for which an order can be in flight
      */
     longestFlight?: number;
     /**
-     * Weight loads that the weight store allows
+     * Maximum number of weight loads from the weight store in one minute
      */
     weightLoadsPerMinute?: number;
     /**
-     * Time between looks at the open orders
+     * Interval at which open orders are processed
      */
     pumpInterval?: number;
     /**
-     * Tries after which an order has failed
+     * Maximum number of attempts for an order
      */
     attempts?: number;
   };
   /**
-   * Silence after which an entry no longer counts
+   * Time without contact after which an entry is no longer counted
    */
   entryLease?: number;
 }
--- a/packages/kumquatfront/src/settings/settingsLoader.ts
+++ b/packages/kumquatfront/src/settings/settingsLoader.ts
@@ -1,5 +1,5 @@
 /**
- * Reads settings files: checks them by the schema and fills in the defaults.
+ * Parses settings files: validates them against the JSON schema and applies defaults.
  */
 import * as ajv from 'ajv';
 
@@ -14,7 +14,7 @@
 import type * as generated from './generatedSettings.js';
 import * as settingsSchema from './settingsSchema.js';
 
-/** An entry's settings with what its daemon needs besides. */
+/** Settings of an entry and of the daemon that runs it. */
 export interface EntryDaemonSettings {
   readonly entry: entryTypes.EntrySettings;
   readonly callerListen: string;
@@ -23,7 +23,7 @@
   readonly metrics: statsdMetrics.MetricsSettings;
 }
 
-/** A control replica's settings with what its daemon needs besides. */
+/** Settings of a control replica and of the daemon that runs it. */
 export interface ControlDaemonSettings {
   readonly control: controlNode.ControlSettings;
   readonly operatorListen: string;
@@ -37,7 +37,7 @@
 const validator = new ajv.Ajv({ strict: true, allowUnionTypes: true });
 const validate = validator.compile<generated.KumquatfrontSettings>(settingsSchema.settingsSchema);
 
-function parse(
+function parseSettings(
   text: string,
   subject: string,
 ): results.Result<generated.KumquatfrontSettings, failures.Failure> {
@@ -46,42 +46,42 @@
     value = JSON.parse(text);
   } catch (error) {
     const reason = error instanceof Error ? error.message : '';
-    const remedy = 'Correct the JSON; settings files have no comments.';
-    return results.Err(failures.create('badInput', `${subject} is not JSON: ${reason}.`, remedy));
+    const remedy = 'Correct the JSON syntax; settings files cannot contain comments.';
+    return results.Err(failures.create('badInput', `${subject} is not valid JSON: ${reason}.`, remedy));
   }
   return validate(value)
     ? results.Ok(value)
     : results.Err(schemaFailures.describe(subject, validate.errors ?? []));
 }
 
-function missing(subject: string, key: string): results.Result<never, failures.Failure> {
-  const remedy = `Put the settings of this process under the key "${key}".`;
-  return results.Err(failures.create('badInput', `${subject} has no "${key}".`, remedy));
+function missingSection(subject: string, key: string): results.Result<never, failures.Failure> {
+  const remedy = `Put the settings of this process in a top-level "${key}" object.`;
+  return results.Err(failures.create('badInput', `${subject} has no "${key}" section.`, remedy));
 }
 
 /**
- * Reads the settings of an entry.
+ * Parses the settings of an entry.
  *
- * @param text - JSON text
- * @param subject - name of the file, for messages
- * @returns the settings, or a `badInput` failure that names the key and the remedy
+ * @param text - JSON text of the settings file
+ * @param subject - file name used in error messages
+ * @returns the settings with defaults, or a `badInput` failure that names the invalid key and the remedy
  * @example
  * ```ts
- * const settings = settingsLoader.readEntry(fs.readFileSync(file, 'utf8'), file);
+ * const settings = settingsLoader.parseEntrySettings(fs.readFileSync(file, 'utf8'), file);
  * ```
  */
 export function readEntry(
   text: string,
   subject: string,
 ): results.Result<EntryDaemonSettings, failures.Failure> {
-  return parse(text, subject).andThen(({ entry }) =>
-    entry === undefined ? missing(subject, 'entry') : results.Ok(toEntry(entry)),
+  return parseSettings(text, subject).andThen(({ entry }) =>
+    entry === undefined ? missingSection(subject, 'entry') : results.Ok(toEntryDaemonSettings(entry)),
   );
 }
 
-function toEntry(file: generated.EntryFile): EntryDaemonSettings {
+function toEntryDaemonSettings(section: generated.EntryFile): EntryDaemonSettings {
   const { entryDefaults } = defaultConfig;
-  const { callerAddress, clusterKey, logLevel, metrics, ...own } = file;
+  const { callerAddress, clusterKey, logLevel, metrics, ...entrySettings } = section;
   return {
     callerListen: callerAddress,
     clusterKey,
@@ -89,41 +89,42 @@
     metrics: metrics ?? {},
     entry: {
       ...entryDefaults,
-      ...own,
+      ...entrySettings,
       callerAddress: `http://${callerAddress}`,
-      directory: { ...entryDefaults.directory, ...own.directory },
-      configuration: { ...entryDefaults.configuration, ...own.configuration },
-      claims: { ...entryDefaults.claims, ...own.claims },
-      relay: { ...entryDefaults.relay, ...own.relay },
-      headroom: { ...entryDefaults.headroom, ...own.headroom },
-      coordination: { ...entryDefaults.coordination, ...own.coordination },
+      directory: { ...entryDefaults.directory, ...entrySettings.directory },
+      configuration: { ...entryDefaults.configuration, ...entrySettings.configuration },
+      claims: { ...entryDefaults.claims, ...entrySettings.claims },
+      relay: { ...entryDefaults.relay, ...entrySettings.relay },
+      headroom: { ...entryDefaults.headroom, ...entrySettings.headroom },
+      coordination: { ...entryDefaults.coordination, ...entrySettings.coordination },
     },
   };
 }
 
 /**
- * Reads the settings of a control replica.
+ * Parses the settings of a control replica.
  *
- * @param text - JSON text
- * @param subject - name of the file, for messages
- * @returns the settings, or a `badInput` failure that names the key and the remedy
+ * @param text - JSON text of the settings file
+ * @param subject - file name used in error messages
+ * @returns the settings with defaults, or a `badInput` failure that names the invalid key and the remedy
  * @example
  * ```ts
- * const settings = settingsLoader.readControl(fs.readFileSync(file, 'utf8'), file);
+ * const settings = settingsLoader.parseControlSettings(fs.readFileSync(file, 'utf8'), file);
  * ```
  */
 export function readControl(
   text: string,
   subject: string,
 ): results.Result<ControlDaemonSettings, failures.Failure> {
-  return parse(text, subject).andThen(({ control }) =>
-    control === undefined ? missing(subject, 'control') : results.Ok(toControl(control)),
+  return parseSettings(text, subject).andThen(({ control }) =>
+    control === undefined ? missingSection(subject, 'control') : results.Ok(toControlDaemonSettings(control)),
   );
 }
 
-function toControl(file: generated.ControlFile): ControlDaemonSettings {
+function toControlDaemonSettings(section: generated.ControlFile): ControlDaemonSettings {
   const { controlDefaults } = defaultConfig;
-  const { operatorAddress, operatorKeyHash, dataFolder, clusterKey, logLevel, metrics, ...own } = file;
+  const { operatorAddress, operatorKeyHash, dataFolder, clusterKey, logLevel, metrics, ...controlSettings } =
+    section;
   return {
     operatorListen: operatorAddress,
     operatorKeyHash,
@@ -133,10 +134,10 @@
     metrics: metrics ?? {},
     control: {
       ...controlDefaults,
-      ...own,
-      timing: { ...controlDefaults.timing, ...own.timing },
-      limits: { ...controlDefaults.limits, ...own.limits },
-      orders: { ...controlDefaults.orders, ...own.orders },
+      ...controlSettings,
+      timing: { ...controlDefaults.timing, ...controlSettings.timing },
+      limits: { ...controlDefaults.limits, ...controlSettings.limits },
+      orders: { ...controlDefaults.orders, ...controlSettings.orders },
     },
   };
 }
--- a/packages/kumquatfront/src/settings/settingsSchema.ts
+++ b/packages/kumquatfront/src/settings/settingsSchema.ts
@@ -6,7 +6,7 @@
 export const settingsSchema = {
   "$schema": "http://json-schema.org/draft-07/schema#",
   "title": "KumquatfrontSettings",
-  "description": "Settings of a kumquatfront process. Times are milliseconds, addresses are ip:port.",
+  "description": "Settings of a kumquatfront process. Times are in milliseconds; addresses are ip:port.",
   "type": "object",
   "additionalProperties": false,
   "properties": {
@@ -55,12 +55,12 @@
           "description": "Unique name of this entry"
         },
         "dataCentre": { "type": "string", "minLength": 1, "description": "Data centre of this VM" },
-        "callerAddress": { "$ref": "#/definitions/Address", "description": "Where callers and upstreams connect" },
-        "peerAddress": { "$ref": "#/definitions/Address", "description": "Where other processes of the system connect" },
+        "callerAddress": { "$ref": "#/definitions/Address", "description": "Listen address for callers and upstreams" },
+        "peerAddress": { "$ref": "#/definitions/Address", "description": "Listen address for other processes of the cluster" },
         "entries": {
           "type": "array",
           "items": { "$ref": "#/definitions/Address" },
-          "description": "Peer addresses of other entries to begin with"
+          "description": "Peer addresses of seed entries, contacted at startup"
         },
         "control": {
           "type": "array",
@@ -68,73 +68,73 @@
           "items": { "$ref": "#/definitions/Address" },
           "description": "Peer addresses of the control replicas"
         },
-        "clusterKey": { "type": "string", "minLength": 16, "description": "Key that all processes of the system share" },
-        "signingKey": { "type": "string", "minLength": 16, "description": "Key that signs resume tokens; the same on every entry" },
-        "upstreamKeyHash": { "$ref": "#/definitions/KeyHash", "description": "SHA-256 of the key that upstreams announce themselves with" },
+        "clusterKey": { "type": "string", "minLength": 16, "description": "Shared key that authenticates the processes of the cluster to each other" },
+        "signingKey": { "type": "string", "minLength": 16, "description": "Key that signs resume tokens; must be identical on every entry" },
+        "upstreamKeyHash": { "$ref": "#/definitions/KeyHash", "description": "SHA-256 of the key that authenticates announcements of upstreams" },
         "logLevel": { "$ref": "#/definitions/LogLevel" },
         "metrics": { "$ref": "#/definitions/Metrics" },
         "directory": {
           "type": "object",
           "additionalProperties": false,
           "properties": {
-            "round": { "$ref": "#/definitions/Milliseconds", "description": "Time between exchanges with other entries" },
-            "fanout": { "type": "integer", "minimum": 1, "maximum": 16, "description": "Entries asked in each exchange" },
-            "keepFor": { "$ref": "#/definitions/Milliseconds", "description": "Time news is kept" },
-            "presenceLease": { "$ref": "#/definitions/Milliseconds", "description": "Silence after which another entry counts as gone" }
+            "round": { "$ref": "#/definitions/Milliseconds", "description": "Interval between gossip rounds" },
+            "fanout": { "type": "integer", "minimum": 1, "maximum": 16, "description": "Number of entries contacted in each gossip round" },
+            "keepFor": { "$ref": "#/definitions/Milliseconds", "description": "Retention time of directory updates" },
+            "presenceLease": { "$ref": "#/definitions/Milliseconds", "description": "Time without a presence update after which an entry is removed from the directory" }
           }
         },
         "configuration": {
           "type": "object",
           "additionalProperties": false,
           "properties": {
-            "pullInterval": { "$ref": "#/definitions/Milliseconds", "description": "Time between pulls of the configuration" },
-            "pullTimeout": { "$ref": "#/definitions/Milliseconds", "description": "Time a replica has to answer a pull" },
-            "staleAfter": { "$ref": "#/definitions/Milliseconds", "description": "Time without control after which the entry says that it is stale" }
+            "pullInterval": { "$ref": "#/definitions/Milliseconds", "description": "Interval between configuration pulls" },
+            "pullTimeout": { "$ref": "#/definitions/Milliseconds", "description": "Timeout of a configuration pull" },
+            "staleAfter": { "$ref": "#/definitions/Milliseconds", "description": "Time without a fresh answer from control after which the entry reports itself as stale" }
           }
         },
         "claims": {
           "type": "object",
           "additionalProperties": false,
           "properties": {
-            "batchWindow": { "type": "number", "minimum": 0, "description": "Time over which claims are gathered" },
-            "claimDeadline": { "$ref": "#/definitions/Milliseconds", "description": "Time within which a claim must be recorded" },
-            "settleDeadline": { "$ref": "#/definitions/Milliseconds", "description": "Time for which an outcome is offered to control" }
+            "batchWindow": { "type": "number", "minimum": 0, "description": "Time window in which claims are batched" },
+            "claimDeadline": { "$ref": "#/definitions/Milliseconds", "description": "Deadline for recording a claim" },
+            "settleDeadline": { "$ref": "#/definitions/Milliseconds", "description": "Deadline for reporting the outcome of a claim to control" }
           }
         },
         "relay": {
           "type": "object",
           "additionalProperties": false,
           "properties": {
-            "stallTimeout": { "$ref": "#/definitions/Milliseconds", "description": "Silence after which the engine is asked again" },
-            "openTimeout": { "$ref": "#/definitions/Milliseconds", "description": "Time an engine has to accept a request" },
-            "silenceLimit": { "$ref": "#/definitions/Milliseconds", "description": "Silence after which a generation is given up" },
-            "resumePause": { "type": "number", "minimum": 0, "description": "Pause before a resumption, times the number of tries" },
-            "resumeGrace": { "$ref": "#/definitions/Milliseconds", "description": "Time a generation is kept for a caller that went away" },
-            "resumeLimit": { "type": "integer", "minimum": 0, "description": "Resumptions without a token before an engine is given up" },
-            "generationLimit": { "type": "integer", "minimum": 1, "description": "Generations of one request at most" }
+            "stallTimeout": { "$ref": "#/definitions/Milliseconds", "description": "Idle time after which the stream is requested from the engine again" },
+            "openTimeout": { "$ref": "#/definitions/Milliseconds", "description": "Time limit for an engine to accept a request" },
+            "silenceLimit": { "$ref": "#/definitions/Milliseconds", "description": "Idle time after which a generation is aborted" },
+            "resumePause": { "type": "number", "minimum": 0, "description": "Delay before a resumption, multiplied by the number of attempts" },
+            "resumeGrace": { "$ref": "#/definitions/Milliseconds", "description": "Time for which a generation is retained after its caller disconnects" },
+            "resumeLimit": { "type": "integer", "minimum": 0, "description": "Maximum number of resumptions without a token before the engine is abandoned" },
+            "generationLimit": { "type": "integer", "minimum": 1, "description": "Maximum number of generations of one request" }
           }
         },
         "headroom": {
           "type": "object",
           "additionalProperties": false,
           "properties": {
-            "reservedMemory": { "$ref": "#/definitions/Share", "description": "Share of an engine's memory kept from patient work" },
-            "reservedSlots": { "$ref": "#/definitions/Share", "description": "Share of an engine's slots kept from patient work" },
-            "deviations": { "type": "number", "minimum": 0, "maximum": 6, "description": "Standard deviations above the mean that the forecast of memory reckons with" }
+            "reservedMemory": { "$ref": "#/definitions/Share", "description": "Share of an engine's memory reserved for urgent requests" },
+            "reservedSlots": { "$ref": "#/definitions/Share", "description": "Share of an engine's slots reserved for urgent requests" },
+            "deviations": { "type": "number", "minimum": 0, "maximum": 6, "description": "Standard deviations above the mean used in the memory forecast" }
           }
         },
         "coordination": {
           "type": "object",
           "additionalProperties": false,
           "properties": {
-            "groupSize": { "type": "integer", "minimum": 1, "description": "Engines that one entry coordinates at most" },
-            "interval": { "$ref": "#/definitions/Milliseconds", "description": "Time between asks for a place, and between reports of progress" },
-            "askTimeout": { "$ref": "#/definitions/Milliseconds", "description": "Time a coordinator has to answer before an entry places alone" }
+            "groupSize": { "type": "integer", "minimum": 1, "description": "Maximum number of engines that one entry coordinates" },
+            "interval": { "$ref": "#/definitions/Milliseconds", "description": "Interval between placement requests and between progress reports" },
+            "askTimeout": { "$ref": "#/definitions/Milliseconds", "description": "Timeout of a placement request, after which the entry places the request locally" }
           }
         },
-        "serviceTimeout": { "$ref": "#/definitions/Milliseconds", "description": "Time a plain service has to answer" },
-        "upstreamWait": { "$ref": "#/definitions/Milliseconds", "description": "Time a request waits for an upstream to announce itself" },
-        "addressLife": { "$ref": "#/definitions/Milliseconds", "description": "Time for which callers may keep a list of addresses" }
+        "serviceTimeout": { "$ref": "#/definitions/Milliseconds", "description": "Response timeout of plain services" },
+        "upstreamWait": { "$ref": "#/definitions/Milliseconds", "description": "Maximum time a request waits for an upstream to be announced" },
+        "addressLife": { "$ref": "#/definitions/Milliseconds", "description": "Time for which callers may cache the list of entry addresses" }
       }
     },
     "ControlFile": {
@@ -157,55 +157,55 @@
           "description": "Unique name of this control VM"
         },
         "dataCentre": { "type": "string", "minLength": 1, "description": "Data centre of this VM" },
-        "operatorAddress": { "$ref": "#/definitions/Address", "description": "Where operators connect" },
-        "peerAddress": { "$ref": "#/definitions/Address", "description": "Where other processes of the system connect" },
+        "operatorAddress": { "$ref": "#/definitions/Address", "description": "Listen address for operators" },
+        "peerAddress": { "$ref": "#/definitions/Address", "description": "Listen address for other processes of the cluster" },
         "control": {
           "type": "array",
           "minItems": 1,
           "maxItems": 7,
           "items": { "$ref": "#/definitions/Address" },
-          "description": "Peer addresses of every control VM, this one included"
+          "description": "Peer addresses of all control VMs, including this one"
         },
-        "clusterKey": { "type": "string", "minLength": 16, "description": "Key that all processes of the system share" },
+        "clusterKey": { "type": "string", "minLength": 16, "description": "Shared key that authenticates the processes of the cluster to each other" },
         "operatorKeyHash": { "$ref": "#/definitions/KeyHash", "description": "SHA-256 of the operators' key" },
-        "dataFolder": { "type": "string", "minLength": 1, "description": "Folder for the agreed state, on a disk" },
+        "dataFolder": { "type": "string", "minLength": 1, "description": "Directory for the persistent replicated state" },
         "logLevel": { "$ref": "#/definitions/LogLevel" },
         "metrics": { "$ref": "#/definitions/Metrics" },
         "timing": {
           "type": "object",
           "additionalProperties": false,
           "properties": {
-            "heartbeat": { "$ref": "#/definitions/Milliseconds", "description": "Time between the leader's heartbeats" },
-            "electionTimeout": { "$ref": "#/definitions/Milliseconds", "description": "Silence of the leader after which another is elected" },
-            "leaseShare": { "$ref": "#/definitions/Share", "description": "Share of the election timeout that a leader trusts" },
-            "snapshotEvery": { "type": "integer", "minimum": 1, "description": "Log entries between snapshots" },
-            "snapshotPieceLength": { "type": "integer", "minimum": 1024, "description": "Characters of a snapshot in one message" },
-            "appendLimit": { "type": "integer", "minimum": 1, "description": "Log entries in one message" }
+            "heartbeat": { "$ref": "#/definitions/Milliseconds", "description": "Interval between heartbeats of the leader" },
+            "electionTimeout": { "$ref": "#/definitions/Milliseconds", "description": "Time without a heartbeat after which a new leader is elected" },
+            "leaseShare": { "$ref": "#/definitions/Share", "description": "Duration of the leader lease as a share of the election timeout" },
+            "snapshotEvery": { "type": "integer", "minimum": 1, "description": "Number of log entries between snapshots" },
+            "snapshotPieceLength": { "type": "integer", "minimum": 1024, "description": "Maximum number of snapshot characters in one message" },
+            "appendLimit": { "type": "integer", "minimum": 1, "description": "Maximum number of log entries in one message" }
           }
         },
         "limits": {
           "type": "object",
           "additionalProperties": false,
           "properties": {
-            "changeIdLife": { "$ref": "#/definitions/Milliseconds", "description": "Time for which a change id gets its first answer again" },
-            "claimLife": { "$ref": "#/definitions/Milliseconds", "description": "Time for which a claim is kept" },
-            "claimsPerAccount": { "type": "integer", "minimum": 1, "description": "Claims kept for one client account" },
-            "tombstones": { "type": "integer", "minimum": 1, "description": "Deleted objects remembered for partial pulls" },
-            "finishedOrders": { "type": "integer", "minimum": 0, "description": "Finished orders remembered" },
-            "quarantined": { "type": "integer", "minimum": 1, "description": "Contents kept from upstreams at once" }
+            "changeIdLife": { "$ref": "#/definitions/Milliseconds", "description": "Time for which a repeated change id receives the original response" },
+            "claimLife": { "$ref": "#/definitions/Milliseconds", "description": "Retention time of a claim" },
+            "claimsPerAccount": { "type": "integer", "minimum": 1, "description": "Maximum number of claims retained for one client account" },
+            "tombstones": { "type": "integer", "minimum": 1, "description": "Number of deleted objects retained for incremental pulls" },
+            "finishedOrders": { "type": "integer", "minimum": 0, "description": "Number of finished orders retained" },
+            "quarantined": { "type": "integer", "minimum": 1, "description": "Maximum number of contents in quarantine" }
           }
         },
         "orders": {
           "type": "object",
           "additionalProperties": false,
           "properties": {
-            "longestFlight": { "$ref": "#/definitions/Milliseconds", "description": "Longest time an order can be on its way" },
-            "weightLoadsPerMinute": { "type": "integer", "minimum": 1, "description": "Weight loads that the weight store allows" },
-            "pumpInterval": { "$ref": "#/definitions/Milliseconds", "description": "Time between looks at the open orders" },
-            "attempts": { "type": "integer", "minimum": 1, "description": "Tries after which an order has failed" }
+            "longestFlight": { "$ref": "#/definitions/Milliseconds", "description": "Maximum time for which an order can be in flight" },
+            "weightLoadsPerMinute": { "type": "integer", "minimum": 1, "description": "Maximum number of weight loads from the weight store in one minute" },
+            "pumpInterval": { "$ref": "#/definitions/Milliseconds", "description": "Interval at which open orders are processed" },
+            "attempts": { "type": "integer", "minimum": 1, "description": "Maximum number of attempts for an order" }
           }
         },
-        "entryLease": { "$ref": "#/definitions/Milliseconds", "description": "Silence after which an entry no longer counts" }
+        "entryLease": { "$ref": "#/definitions/Milliseconds", "description": "Time without contact after which an entry is no longer counted" }
       }
     }
   }
--- a/packages/kumquatfront/src/utils/canonicalJson.ts
+++ b/packages/kumquatfront/src/utils/canonicalJson.ts
@@ -1,5 +1,5 @@
 /**
- * JSON text that is the same for equal values, whatever the order of their keys.
+ * Canonical JSON: equal values have the same text regardless of the order of their keys.
  */
 import * as crypto from 'node:crypto';
 
@@ -16,10 +16,10 @@
 }
 
 /**
- * Canonical JSON text.
+ * Serializes a value as canonical JSON.
  *
  * @param value - a JSON value
- * @returns its text with keys in order
+ * @returns the JSON text with sorted keys
  * @example
  * ```ts
  * canonicalJson.stringify({ b: 1, a: 2 }); // '{"a":2,"b":1}'
@@ -30,7 +30,7 @@
 }
 
 /**
- * SHA-256 of the canonical text.
+ * Returns the SHA-256 digest of the canonical JSON text.
  *
  * @param value - a JSON value
  * @returns 64 hexadecimal digits
--- a/packages/kumquatfront/src/utils/rendezvous.ts
+++ b/packages/kumquatfront/src/utils/rendezvous.ts
@@ -1,19 +1,19 @@
 /**
- * Rendezvous hashing after Thaler and Ravishankar (1998): everyone who knows the same names picks the same
- * one for a key, and only the keys of a name that comes or goes move.
+ * Rendezvous hashing (Thaler and Ravishankar, 1998): processes with the same list of names pick the same name
+ * for a key, and adding or removing a name moves only the keys of that name.
  */
 
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
 /**
- * A 32-bit hash (FNV-1a with a final mix), the same in every process.
+ * Computes a 32-bit hash (FNV-1a with a finalizer) that is the same in every process.
  *
- * @param text - what is hashed
- * @returns a whole number from 0 to 2^32 - 1
+ * @param text - the text to hash
+ * @returns an integer from 0 to 2^32 - 1
  * @example
  * ```ts
- * rendezvous.hash('engine-7') % 4;
+ * rendezvousHashing.hash('engine-7') % 4;
  * ```
  */
 export function hash(text: string): number {
@@ -27,20 +27,20 @@
 }
 
 /**
- * Picks the name for a key.
+ * Picks the name responsible for a key.
  *
- * @param key - what needs someone responsible
- * @param names - who could be
- * @returns one of the names; undefined where there is none
+ * @param key - the key to assign
+ * @param candidates - names to pick from
+ * @returns one of the names, or undefined if there are none
  * @example
  * ```ts
- * const coordinator = rendezvous.pick('ledger-llm/0', ['entry-1', 'entry-2']);
+ * const coordinator = rendezvousHashing.pick('ledger-llm/0', ['entry-1', 'entry-2']);
  * ```
  */
-export function pick(key: string, names: readonly string[]): string | undefined {
+export function pick(key: string, candidates: readonly string[]): string | undefined {
   let best: string | undefined;
   let bestScore = -1;
-  for (const name of names) {
+  for (const name of candidates) {
     const score = hash(`${key}|${name}`);
     if (score > bestScore) {
       best = name;
--- a/packages/kumquatfront/src/utils/schemaFailures.ts
+++ b/packages/kumquatfront/src/utils/schemaFailures.ts
@@ -1,11 +1,11 @@
 /**
- * Turns a schema validator's findings into a failure that names the key and the remedy.
+ * Converts schema validation errors into a failure that names the invalid key and the remedy.
  */
 import type * as ajv from 'ajv';
 
 import * as failures from '../kernel/failures.js';
 
-function remedyFor(error: ajv.ErrorObject): string {
+function remedyOf(error: ajv.ErrorObject): string {
   const parameters = error.params as Readonly<Record<string, unknown>>;
   switch (error.keyword) {
     case 'additionalProperties':
@@ -15,30 +15,30 @@
     case 'enum':
       return `Use one of ${(parameters.allowedValues as readonly string[]).join(', ')}.`;
     case 'type':
-      return `Give a value of type ${String(parameters.type)}.`;
+      return `Use a value of type ${String(parameters.type)}.`;
     default:
       return 'Correct the value.';
   }
 }
 
 /**
- * Describes the first finding of a validator.
+ * Creates a failure from the first validation error.
  *
- * @param subject - what was checked, such as a file name
- * @param errors - the findings
+ * @param subject - what was validated, such as a file name
+ * @param errors - the validation errors
  * @returns a `badInput` failure
  * @example
  * ```ts
- * schemaFailures.describe('entry.json', validate.errors ?? []);
+ * schemaFailures.fromErrors('entry.json', validate.errors ?? []);
  * ```
  */
 export function describe(subject: string, errors: readonly ajv.ErrorObject[]): failures.Failure {
   const [first] = errors;
   if (first === undefined) {
-    return failures.create('badInput', `${subject} is not valid.`, 'Compare it with the schema.');
+    return failures.create('badInput', `${subject} is not valid.`, 'Compare the value with the schema.');
   }
   const path =
     first.instancePath === '' ? 'the top level' : `key ${first.instancePath.slice(1).replaceAll('/', '.')}`;
   const message = `${subject}: at ${path}, the value ${first.message ?? 'is not valid'}.`;
-  return failures.create('badInput', message, remedyFor(first));
+  return failures.create('badInput', message, remedyOf(first));
 }
--- a/packages/scenarios/src/scripts/dataCentreSafeguards.ts
+++ b/packages/scenarios/src/scripts/dataCentreSafeguards.ts
@@ -43,7 +43,7 @@
   {
     name: 'an entry that starts learns of evacuated data centres with its first answer',
     file: 'configuration/configurationReplica.js',
-    find: 'this.takeEvacuations(answer);',
+    find: 'this.applyEvacuations(answer);',
     replace: '',
     scenario: 'data-centre-evacuated',
   },
