--- a/packages/kumquatfront/src/configuration/validation.ts
+++ b/packages/kumquatfront/src/configuration/validation.ts
@@ -9,6 +9,8 @@
 import * as schemaFailures from '../utils/schemaFailures.js';
 import type * as types from './types.js';
 
+// Failure texts are stored in the replicated state and part of its digest: all replicas must produce the same text.
+
 const labelsSchema = {
   type: 'object',
   additionalProperties: { type: 'string', maxLength: 128 },
@@ -114,12 +116,12 @@
   const validate = validators().get(draft.kind);
   if (validate === undefined) {
     const remedy = `Use one of ${Object.keys(SCHEMAS).join(', ')}.`;
-    return results.Err(failures.create('badInput', `Unknown object kind "${draft.kind}".`, remedy));
+    return results.Err(failures.create('badInput', `There is no kind "${draft.kind}".`, remedy));
   }
   if (!NAME_PATTERN.test(draft.name)) {
     const remedy =
-      'Use up to 63 letters, digits, dots, hyphens and underscores, starting with a letter or digit.';
-    return results.Err(failures.create('badInput', `Invalid object name "${draft.name}".`, remedy));
+      'Use up to 63 letters, digits, dots, dashes and underscores, beginning with a letter or digit.';
+    return results.Err(failures.create('badInput', `The name "${draft.name}" is not allowed.`, remedy));
   }
   if (!validate(draft.body)) {
     return results.Err(schemaFailures.describe(`${draft.kind} ${draft.name}`, validate.errors ?? []));
@@ -133,8 +135,8 @@
 function missingReference(kind: string, name: string): failures.Failure {
   return failures.create(
     'badInput',
-    `The ${kind} "${name}" does not exist.`,
-    `Apply the ${kind} first, or earlier in the same file.`,
+    `There is no ${kind} "${name}".`,
+    `Apply the ${kind} first, in the same file or before.`,
   );
 }
 
@@ -158,7 +160,7 @@
     const otherParsed = labelSelector.parse(other.body.match);
     if (otherParsed.ok && labelSelector.overlaps(parsed.val, otherParsed.val)) {
       const message = `Selectors ${name} and ${other.name} can match the same request at precedence ${body.precedence}.`;
-      const remedy = 'Assign different precedences, or narrow one of the selectors.';
+      const remedy = 'Give one of them a higher precedence, or narrow one of them.';
       return results.Err(failures.create('ambiguous', message, remedy, { other: other.name }));
     }
   }
--- a/packages/kumquatfront/src/selectors/labelSelector.ts
+++ b/packages/kumquatfront/src/selectors/labelSelector.ts
@@ -76,16 +76,18 @@
  */
 export function parse(text: string): results.Result<LabelSelector, failures.Failure> {
   if (text.length > MAXIMUM_LENGTH) {
-    const remedy = `Shorten the selector to ${MAXIMUM_LENGTH} characters or split it into several selectors.`;
-    return results.Err(failures.create('badInput', 'The label selector is too long.', remedy));
+    const remedy = `Shorten it to ${MAXIMUM_LENGTH} characters or split it into several selectors.`;
+    return results.Err(failures.create('badInput', 'The selector is too long.', remedy));
   }
   const requirements: Requirement[] = [];
   for (const term of text.trim() === '' ? [] : splitTerms(text)) {
     const requirement = parseTerm(term);
     if (requirement === undefined) {
       const remedy =
-        'Use key=value, key!=value, key in (a,b), key notin (a,b), key or !key, separated by commas.';
-      return results.Err(failures.create('badInput', `Invalid label selector term "${term}".`, remedy));
+        'Write key=value, key!=value, key in (a,b), key notin (a,b), key or !key, separated by commas.';
+      return results.Err(
+        failures.create('badInput', `The selector term "${term}" is not understood.`, remedy),
+      );
     }
     requirements.push(requirement);
   }
--- a/packages/kumquatfront/src/utils/schemaFailures.ts
+++ b/packages/kumquatfront/src/utils/schemaFailures.ts
@@ -15,7 +15,7 @@
     case 'enum':
       return `Use one of ${(parameters.allowedValues as readonly string[]).join(', ')}.`;
     case 'type':
-      return `Use a value of type ${String(parameters.type)}.`;
+      return `Give a value of type ${String(parameters.type)}.`;
     default:
       return 'Correct the value.';
   }
@@ -35,7 +35,7 @@
 export function describe(subject: string, errors: readonly ajv.ErrorObject[]): failures.Failure {
   const [first] = errors;
   if (first === undefined) {
-    return failures.create('badInput', `${subject} is not valid.`, 'Compare the value with the schema.');
+    return failures.create('badInput', `${subject} is not valid.`, 'Compare it with the schema.');
   }
   const path =
     first.instancePath === '' ? 'the top level' : `key ${first.instancePath.slice(1).replaceAll('/', '.')}`;
