--- a/packages/kumquatfront/src/utils/schemaFailures.ts
+++ b/packages/kumquatfront/src/utils/schemaFailures.ts
@@ -1,11 +1,11 @@
 /**
- * Turns a schema validator's findings into a failure that names the key and the remedy.
+ * Converts schema validation errors into a failure that names the invalid key and the remedy.
  */
 import type * as ajv from 'ajv';
 
 import * as failures from '../kernel/failures.js';
 
-function remedyFor(error: ajv.ErrorObject): string {
+function remedyOf(error: ajv.ErrorObject): string {
   const parameters = error.params as Readonly<Record<string, unknown>>;
   switch (error.keyword) {
     case 'additionalProperties':
@@ -22,14 +22,14 @@
 }
 
 /**
- * Describes the first finding of a validator.
+ * Creates a failure from the first validation error.
  *
- * @param subject - what was checked, such as a file name
- * @param errors - the findings
+ * @param subject - what was validated, such as a file name
+ * @param errors - the validation errors
  * @returns a `badInput` failure
  * @example
  * ```ts
- * schemaFailures.describe('entry.json', validate.errors ?? []);
+ * schemaFailures.fromErrors('entry.json', validate.errors ?? []);
  * ```
  */
 export function describe(subject: string, errors: readonly ajv.ErrorObject[]): failures.Failure {
@@ -40,5 +40,5 @@
   const path =
     first.instancePath === '' ? 'the top level' : `key ${first.instancePath.slice(1).replaceAll('/', '.')}`;
   const message = `${subject}: at ${path}, the value ${first.message ?? 'is not valid'}.`;
-  return failures.create('badInput', message, remedyFor(first));
+  return failures.create('badInput', message, remedyOf(first));
 }
