--- a/packages/kumquatfront/src/controlClient/controlClient.ts
+++ b/packages/kumquatfront/src/controlClient/controlClient.ts
@@ -1,37 +1,37 @@
 /**
- * Calls to control from an entry: it finds the leader, follows hints and turns to other replicas. A call
- * ends in an answer or, at its deadline, in a failure.
+ * Client of an entry for calls to control. It finds the leader, follows leader hints and retries on other
+ * replicas until an answer arrives or the timeout of the call expires.
  */
 import * as failures from '../kernel/failures.js';
 import type * as ports from '../kernel/ports.js';
 import * as results from '../kernel/results.js';
 import type * as timerService from '../kernel/timerService.js';
 
-/** What the client is made from. */
+/** Options of a control client. */
 export interface ControlClientOptions {
   readonly addresses: readonly string[];
   readonly peers: ports.PeerTransport;
   readonly timers: timerService.TimerService;
-  /** Milliseconds one replica has to answer before the next is asked. */
+  /** Milliseconds that one replica has to answer before the call is sent to the next. */
   readonly attemptTimeout: number;
 }
 
-const PAUSE_BETWEEN_ROUNDS = 100;
+const ROUND_RETRY_DELAY = 100;
 
 function leaderHint(failure: failures.Failure): string | undefined {
   const leader = failure.kind === 'notLeader' ? failure.detail?.leader : undefined;
   return typeof leader === 'string' ? leader : undefined;
 }
 
-/** Failures after which another replica may do better. */
-function isWorthRetrying(failure: failures.Failure): boolean {
+/** True for failures after which another replica may answer. */
+function isRetryable(failure: failures.Failure): boolean {
   return ['notLeader', 'noQuorum', 'timeout', 'unreachable', 'stale'].includes(failure.kind);
 }
 
-/** The client; see the module comment. */
+/** Calls the leader of control; see the module comment. */
 export class ControlClient {
   private readonly options: ControlClientOptions;
-  private position = 0;
+  private addressIndex = 0;
 
   constructor(options: ControlClientOptions) {
     this.options = options;
@@ -41,47 +41,47 @@
     return this.options.addresses;
   }
 
-  private current(): string {
+  private currentAddress(): string {
     const { addresses } = this.options;
-    return addresses[this.position % addresses.length] ?? '';
+    return addresses[this.addressIndex % addresses.length] ?? '';
   }
 
   /**
-   * Calls the leader. The call may reach more than one replica or the same one twice, so it must be safe to
-   * repeat: claims carry their attempt, changes their change id.
+   * Calls the leader. The call may be delivered more than once, so it must be idempotent: claims carry their
+   * attempt, changes their change id.
    */
-  callLeader(method: string, parameters: unknown, deadline: number, done: ports.Reply): void {
+  callLeader(method: string, parameters: unknown, timeout: number, done: ports.Reply): void {
     const { peers, timers, attemptTimeout } = this.options;
-    const endsAt = timers.now() + deadline;
-    let tries = 0;
+    const deadlineAt = timers.now() + timeout;
+    let failedAttempts = 0;
     const attempt = (address: string): void => {
-      const left = endsAt - timers.now();
-      if (left <= 0) {
-        done(results.Err(this.unavailable()));
+      const remaining = deadlineAt - timers.now();
+      if (remaining <= 0) {
+        done(results.Err(this.noLeaderFailure()));
         return;
       }
-      peers.request(address, method, parameters, Math.min(attemptTimeout, left), (result) => {
-        if (result.ok || !isWorthRetrying(result.val)) {
-          this.remember(address);
+      peers.request(address, method, parameters, Math.min(attemptTimeout, remaining), (result) => {
+        if (result.ok || !isRetryable(result.val)) {
+          this.preferAddress(address);
           done(result);
           return;
         }
-        tries += 1;
-        this.next(address, result.val, tries, attempt);
+        failedAttempts += 1;
+        this.tryNextAddress(address, result.val, failedAttempts, attempt);
       });
     };
-    attempt(this.current());
+    attempt(this.currentAddress());
   }
 
-  private remember(address: string): void {
-    const position = this.options.addresses.indexOf(address);
-    this.position = position >= 0 ? position : this.position;
+  private preferAddress(address: string): void {
+    const index = this.options.addresses.indexOf(address);
+    this.addressIndex = index >= 0 ? index : this.addressIndex;
   }
 
-  private next(
+  private tryNextAddress(
     failed: string,
     failure: failures.Failure,
-    tries: number,
+    failedAttempts: number,
     attempt: (address: string) => void,
   ): void {
     const hint = leaderHint(failure);
@@ -89,18 +89,18 @@
       attempt(hint);
       return;
     }
-    this.position += 1;
-    // After a whole round without a leader an election is probably under way.
-    const pause = tries % this.options.addresses.length === 0 ? PAUSE_BETWEEN_ROUNDS : 0;
-    this.options.timers.after(pause, () => {
-      attempt(this.current());
+    this.addressIndex += 1;
+    // If no replica led in a complete round, an election is probably in progress.
+    const delay = failedAttempts % this.options.addresses.length === 0 ? ROUND_RETRY_DELAY : 0;
+    this.options.timers.after(delay, () => {
+      attempt(this.currentAddress());
     });
   }
 
-  private unavailable(): failures.Failure {
+  private noLeaderFailure(): failures.Failure {
     return failures.create(
       'noQuorum',
-      'No control replica that leads could be reached.',
+      'No leading control replica could be reached.',
       'Try again later; `kumquatfront status` shows which control VMs answer.',
     );
   }
--- a/packages/kumquatfront/src/controlNode/controlNode.ts
+++ b/packages/kumquatfront/src/controlNode/controlNode.ts
@@ -1,6 +1,6 @@
 /**
- * A control replica: agreed state behind the replicated log, served to operators and entries. All outside
- * comes through ports.
+ * A control replica: applies the replicated log to the agreed state and serves it to operators and entries.
+ * All external dependencies are passed in as ports.
  */
 import * as agreedState from '../agreedState/agreedState.js';
 import * as evacuationFailures from '../agreedState/evacuationFailures.js';
@@ -32,33 +32,33 @@
 export interface ControlSettings {
   readonly name: string;
   readonly dataCentre: string;
-  /** Where other processes of the system reach it: `ip:port`. */
+  /** Address at which other processes of the system reach this replica: `ip:port`. */
   readonly peerAddress: string;
   /** Peer addresses of every control VM, this one included. */
   readonly control: readonly string[];
   readonly timing: consensus.ConsensusTiming;
   readonly limits: agreedTypes.AgreedStateLimits;
   readonly orders: orders.OrderSettings;
-  /** Time without a pull after which an entry no longer counts for "in force at". */
+  /** Time without a pull after which an entry no longer counts as running. */
   readonly entryLease: number;
-  /** False where the system has started before, so that this replica may only join; true where absent. */
+  /** False if a cluster already exists, so that this replica may only join it; default true. */
   readonly mayFound?: boolean;
-  /** Control VMs that may be lost at once; 1 where absent. */
+  /** Number of control VMs that may be lost at the same time; default 1. */
   readonly toleratedLosses?: number;
-  /** Region of each data centre, by name; any data centre may be evacuated where absent. */
+  /** Region of each data centre, by name; if absent, any data centre may be evacuated. */
   readonly regions?: residency.Regions;
-  /** How far all that send may pass what a cold upstream tolerates; not at all where absent. */
+  /** How far the combined traffic to a cold upstream may exceed its limit; default not at all. */
   readonly warmUpTolerance?: warmUpBounds.WarmUpTolerance;
-  /** Mechanisms of placement in use; all of them where absent. */
+  /** Placement features in use; default all. */
   readonly isOn?: mechanisms.IsOn;
 }
 
 /** Ports of a control replica. */
 export interface ControlPorts extends ports.BasePorts {
   readonly disk: ports.Disk;
-  /** How orders reach upstreams; through the entries where absent. */
+  /** Delivers orders to upstreams; default through the entries. */
   readonly orders?: orders.OrderPort;
-  /** Reads whole traffic configurations; without it this replica serves none. */
+  /** Decodes traffic configurations; without it this replica serves none. */
   readonly decodeTraffic?: trafficTypes.DecodeTraffic;
 }
 
@@ -72,14 +72,14 @@
   readonly traffic: trafficControl.TrafficControl;
 }
 
-/** What a control replica offers to the adapters around it. */
+/** Interface of a control replica for its adapters. */
 export interface ControlNode {
   readonly services: serviceRegistry.ServiceRegistry<ControlServices>;
-  /** Evacuates a data centre or restores it; only the leader does. */
+  /** Evacuates or restores a data centre; succeeds only on the leader. */
   orderDataCentre(command: agreedTypes.DataCentreCommand, done: ports.Reply): void;
-  /** Changes the configuration; only the leader does. */
+  /** Changes the configuration; succeeds only on the leader. */
   configure(command: agreedTypes.ConfigureCommand, done: ports.Reply): void;
-  /** Reads an object; only a fresh replica answers. */
+  /** Reads the objects of a kind, or one by name; fails if this replica may be out of date. */
   read(
     kind: string,
     name: string | undefined,
@@ -90,14 +90,14 @@
 
 interface SeenEntry {
   readonly presence: directory.EntryPresence;
-  readonly at: number;
+  readonly seenAt: number;
 }
 
 /**
  * Opens the data folder and creates a control replica.
  *
  * @param settings - the replica's settings
- * @param outside - its ports
+ * @param externalPorts - its ports
  * @returns the running replica, or a `corrupt` failure of the data folder
  * @example
  * ```ts
@@ -106,24 +106,24 @@
  */
 export function create(
   settings: ControlSettings,
-  outside: ControlPorts,
+  externalPorts: ControlPorts,
 ): results.Result<ControlNode, failures.Failure> {
-  return logStore.LogStore.open(outside.disk, outside.random).map((store) => {
-    return new Control(settings, outside, store);
+  return logStore.LogStore.open(externalPorts.disk, externalPorts.random).map((store) => {
+    return new ControlReplica(settings, externalPorts, store);
   });
 }
 
-class Control implements ControlNode {
+class ControlReplica implements ControlNode {
   readonly services = serviceRegistry.create<ControlServices>();
   private readonly settings: ControlSettings;
   private readonly timers: timerService.TimerService;
   private readonly replica: replica.Replica;
   private readonly state: agreedState.AgreedState;
   private readonly traffic: trafficControl.TrafficControl | undefined;
-  private readonly seen = new Map<string, SeenEntry>();
+  private readonly lastSeenEntries = new Map<string, SeenEntry>();
 
-  constructor(settings: ControlSettings, outside: ControlPorts, store: logStore.LogStore) {
-    const { clock, scheduler, random, log, peers } = outside;
+  constructor(settings: ControlSettings, externalPorts: ControlPorts, store: logStore.LogStore) {
+    const { clock, scheduler, random, log, peers } = externalPorts;
     this.settings = settings;
     this.timers = timerService.create(clock, scheduler);
     this.state = new agreedState.AgreedState(settings.limits);
@@ -154,7 +154,7 @@
       settings: settings.orders,
       replica: this.replica,
       state,
-      port: outside.orders ?? entryOrderPort.create(peers, random, () => this.liveEntries()),
+      port: externalPorts.orders ?? entryOrderPort.create(peers, random, () => this.liveEntries()),
       timers: this.timers,
       log,
     });
@@ -162,19 +162,19 @@
     this.services.register('state', state);
     this.services.register('replica', this.replica);
     this.services.register('orders', desk);
-    this.services.register('membership', this.createMembership(outside, store.identity));
-    if (outside.decodeTraffic !== undefined) {
-      this.traffic = this.createTrafficControl(outside, outside.decodeTraffic);
+    this.services.register('membership', this.createMembership(externalPorts, store.identity));
+    if (externalPorts.decodeTraffic !== undefined) {
+      this.traffic = this.createTrafficControl(externalPorts, externalPorts.decodeTraffic);
       this.services.register('traffic', this.traffic);
     }
     this.serve(peers);
   }
 
   private createTrafficControl(
-    outside: ControlPorts,
+    externalPorts: ControlPorts,
     decode: trafficTypes.DecodeTraffic,
   ): trafficControl.TrafficControl {
-    const { peers, random, log, metrics } = outside;
+    const { peers, random, log, metrics } = externalPorts;
     const {
       peerAddress,
       dataCentre,
@@ -199,27 +199,27 @@
       warmUpTolerance,
       leastVoters: Math.min(2 * toleratedLosses + 1, control.length),
       wantedVoters: 2 * toleratedLosses + 1,
-      isGathering: () => this.services.find('membership').isGathering(),
+      isGathering: () => this.services.find('membership').hasPendingVoter(),
       ...(isOn !== undefined && { isOn }),
     });
   }
 
-  private createMembership(outside: ControlPorts, identity: string): membership.Membership {
+  private createMembership(externalPorts: ControlPorts, identity: string): membership.Membership {
     const { name, dataCentre, peerAddress, control, mayFound = true, toleratedLosses = 1 } = this.settings;
-    const { peers, random, log } = outside;
+    const { peers, random, log } = externalPorts;
     const own = this.replica;
     return new membership.Membership({
       name,
       dataCentre,
       peerAddress,
-      control,
+      controlAddresses: control,
       identity,
       replica: own,
       peers,
       timers: this.timers,
       random,
       log,
-      mayFound,
+      mayBootstrap: mayFound,
       toleratedLosses,
     });
   }
@@ -265,19 +265,19 @@
   }
 
   /**
-   * A data centre counts as known where anything of the system runs, or where it is evacuated already: nobody tells
-   * control a list, and upstreams announce themselves to entries.
+   * Accepts only data centres in which an entry or a control replica runs, or which are already evacuated. Control
+   * has no configured list of data centres, and upstreams announce themselves to entries.
    */
   orderDataCentre(command: agreedTypes.DataCentreCommand, done: ports.Reply): void {
     const { dataCentre } = command;
-    const known = new Set([
+    const knownDataCentres = new Set([
       this.settings.dataCentre,
       ...this.liveEntries().map((entry) => entry.dataCentre),
       ...this.replica.status().members.map((member) => member.dataCentre ?? ''),
-      ...this.state.evacuations.dataCentres.map((held) => held.dataCentre),
+      ...this.state.evacuations.dataCentres.map((evacuation) => evacuation.dataCentre),
     ]);
-    if (dataCentre === '' || !known.has(dataCentre)) {
-      const names = [...known].filter((name) => name !== '').sort();
+    if (dataCentre === '' || !knownDataCentres.has(dataCentre)) {
+      const names = [...knownDataCentres].filter((name) => name !== '').sort();
       done(results.Err(evacuationFailures.unknownDataCentre(dataCentre, names)));
       return;
     }
@@ -286,20 +286,20 @@
 
   private onClaims(request: methods.ClaimsRequest, reply: ports.Reply): void {
     const answers: agreedTypes.ClaimAnswer[] = [];
-    let open = request.claims.length;
-    let failed = false;
+    let pending = request.claims.length;
+    let hasFailed = false;
     for (const [position, claim] of request.claims.entries()) {
       this.replica.propose(claim, (result) => {
-        open -= 1;
+        pending -= 1;
         if (result.err) {
-          if (!failed) {
-            failed = true;
+          if (!hasFailed) {
+            hasFailed = true;
             reply(result);
           }
           return;
         }
         answers[position] = result.val as agreedTypes.ClaimAnswer;
-        if (open === 0 && !failed) {
+        if (pending === 0 && !hasFailed) {
           reply(results.Ok({ answers }));
         }
       });
@@ -308,7 +308,10 @@
 
   private onPull(request: methods.PullRequest, reply: ports.Reply): void {
     if (request.presence !== null) {
-      this.seen.set(request.presence.name, { presence: request.presence, at: this.timers.now() });
+      this.lastSeenEntries.set(request.presence.name, {
+        presence: request.presence,
+        seenAt: this.timers.now(),
+      });
     }
     if (request.leaderOnly && !this.replica.mayLead()) {
       const leader = this.replica.leader();
@@ -321,7 +324,7 @@
   }
 
   private answerPull(request: methods.PullRequest): methods.PullAnswer {
-    // A replica that is cut off must say so: its entries would go on serving what others have changed.
+    // A partitioned replica must report that it is stale, or entries would keep serving an outdated configuration.
     if (!this.replica.isFresh()) {
       return { fresh: false, age: 0 };
     }
@@ -339,12 +342,12 @@
 
   private liveEntries(): readonly directory.EntryPresence[] {
     const now = this.timers.now();
-    for (const [name, entry] of this.seen) {
-      if (now - entry.at > this.settings.entryLease) {
-        this.seen.delete(name);
+    for (const [name, entry] of this.lastSeenEntries) {
+      if (now - entry.seenAt > this.settings.entryLease) {
+        this.lastSeenEntries.delete(name);
       }
     }
-    return [...this.seen.values()].map((entry) => entry.presence);
+    return [...this.lastSeenEntries.values()].map((entry) => entry.presence);
   }
 
   read(
@@ -353,7 +356,7 @@
   ): results.Result<readonly configuration.ConfigurationObject[], failures.Failure> {
     if (!this.replica.isFresh()) {
       const remedy = 'Ask another control replica.';
-      return results.Err(failures.create('stale', 'This replica may be behind the others.', remedy));
+      return results.Err(failures.create('stale', 'This replica may be out of date.', remedy));
     }
     const { objects } = this.state.deltaSince(-1, '');
     const found = objects.filter(
@@ -375,7 +378,7 @@
       claims: this.state.claimCount,
       openOrders: this.state.openOrders().length,
       evacuations: this.state.evacuations,
-      toleratesDataCentreLoss: voterSpread.toleratesAnyLoss(this.replica.status().members),
+      toleratesDataCentreLoss: voterSpread.toleratesAnyDataCentreLoss(this.replica.status().members),
       entries: this.liveEntries(),
     };
   }
--- a/packages/kumquatfront/src/controlNode/membership.ts
+++ b/packages/kumquatfront/src/controlNode/membership.ts
@@ -1,6 +1,6 @@
 /**
- * Membership of the control replicas: founding a cluster, joining one, and replacing a replica whose disk
- * was lost.
+ * Membership of the control replicas: bootstraps or joins a cluster, replaces a replica whose disk was lost,
+ * and removes unresponsive members.
  */
 import type * as consensus from '../consensus/types.js';
 import type * as replica from '../consensus/replica.js';
@@ -11,45 +11,45 @@
 import * as methods from './methods.js';
 import * as voterSpread from './voterSpread.js';
 
-/** What membership is made from. */
+/** Options of the membership of one replica. */
 export interface MembershipOptions {
   readonly name: string;
   readonly dataCentre: string;
   readonly peerAddress: string;
   /** Peer addresses of every control VM, this one included. */
-  readonly control: readonly string[];
+  readonly controlAddresses: readonly string[];
   readonly identity: string;
   readonly replica: replica.Replica;
   readonly peers: ports.PeerTransport;
   readonly timers: timerService.TimerService;
   readonly random: ports.Random;
   readonly log: ports.Log;
-  /** False where the system has started before: a new replica may only join then. */
-  readonly mayFound: boolean;
-  /** Losses that the voters must tolerate at once; 2 n + 1 of them are kept where there are as many. */
+  /** False if a cluster already exists, so that this replica may only join it. */
+  readonly mayBootstrap: boolean;
+  /** Number n of voters that may be lost at the same time; 2 n + 1 voters are kept if enough members exist. */
   readonly toleratedLosses: number;
 }
 
 const JOIN_INTERVAL = 500;
 const REPAIR_INTERVAL = 200;
 const REQUEST_TIMEOUT = 400;
-/** A member that answered this recently is alive, and another may not take its name. */
-const ALIVE_WITHIN = 5_000;
-/** A voter that is silent for this long makes way, where enough others are alive; it joins again on its return. */
-const SILENT_VOTER = 3_000;
-/** The same where a new replica has caught up to take its place. */
-const REPLACED_VOTER = 1_500;
-/** A learner that is silent for this long is dropped; it joins again on its return. */
-const SILENT_LEARNER = 6_000;
-/** A replica that has heard no leader for this long asks whether it is still a member. */
-const ASK_MEMBERSHIP_AFTER = 1_500;
-/** Entries a learner may lack when it is promoted; it receives them within a heartbeat. */
-const PROMOTION_LAG = 16;
+/** A member that answered within this time is running, and no other replica may take its name. */
+const MEMBER_LIVENESS_TIMEOUT = 5_000;
+/** A voter without an answer for this time is removed if enough others respond; it rejoins when it returns. */
+const VOTER_REMOVAL_TIMEOUT = 3_000;
+/** As `VOTER_REMOVAL_TIMEOUT`, if a new replica has caught up to replace the voter. */
+const REPLACED_VOTER_TIMEOUT = 1_500;
+/** A learner without an answer for this time is removed; it rejoins when it returns. */
+const LEARNER_REMOVAL_TIMEOUT = 6_000;
+/** A replica without contact to a leader for this time checks whether it is still a member. */
+const LEADER_CONTACT_TIMEOUT = 1_500;
+/** Log entries that a learner may lack when it is promoted; it receives them within a heartbeat. */
+const MAXIMUM_PROMOTION_LAG = 16;
 
-/** Who asked to join this recently asks again: six times its pause, as a busy process answers late. */
-const JOINING_WITHIN = 6 * JOIN_INTERVAL;
+/** Time after a join request in which its sender counts as joining; covers late retries of a busy process. */
+const JOIN_REQUEST_TTL = 6 * JOIN_INTERVAL;
 
-/** True for the former identity of the VM on which a learner runs. */
+/** True if `member` is an earlier identity of the VM on which `learner` runs. */
 function isReplaced(member: consensus.Member, learner: consensus.Member): boolean {
   const isSameVm = member.name === learner.name || member.address === learner.address;
   return isSameVm && member.identity !== learner.identity;
@@ -58,18 +58,18 @@
 /** Membership of one replica; see the module comment. */
 export class Membership {
   private readonly options: MembershipOptions;
-  private joinAskedAt = Number.NEGATIVE_INFINITY;
-  private control: readonly string[];
+  private lastJoinRequestAt = Number.NEGATIVE_INFINITY;
+  private controlAddresses: readonly string[];
   private toleratesDataCentreLoss = false;
 
   constructor(options: MembershipOptions) {
     this.options = options;
-    this.control = options.control;
+    this.controlAddresses = options.controlAddresses;
     this.serve();
     options.timers.every(
       () => JOIN_INTERVAL,
       () => {
-        this.joinOrFound();
+        this.joinOrBootstrap();
       },
     );
     options.timers.every(
@@ -103,78 +103,86 @@
     return members.some((member) => member.identity === this.options.identity);
   }
 
-  /** True where a replica that is no voter yet is about to become one: it asks to join, or receives the log. */
-  isGathering(): boolean {
+  /** True if a replica is about to become a voter: it has requested to join, or is receiving the log as a learner. */
+  hasPendingVoter(): boolean {
     const { replica: own, timers } = this.options;
     const hasLearner = own
       .status()
-      .members.some((member) => member.role === 'learner' && this.silenceOf(member) < SILENT_LEARNER);
-    return hasLearner || timers.now() - this.joinAskedAt < JOINING_WITHIN;
+      .members.some(
+        (member) => member.role === 'learner' && this.timeSinceAnswer(member) < LEARNER_REMOVAL_TIMEOUT,
+      );
+    return hasLearner || timers.now() - this.lastJoinRequestAt < JOIN_REQUEST_TTL;
   }
 
-  /** Replaces the addresses under which others are looked for. */
-  setControl(control: readonly string[]): void {
-    this.control = control;
+  /** Replaces the addresses at which other control replicas are discovered. */
+  setControl(controlAddresses: readonly string[]): void {
+    this.controlAddresses = controlAddresses;
   }
 
-  /** Addresses to ask: those of the settings, and those of every member that is known. */
-  private askedAddresses(): readonly string[] {
+  /** Addresses of the other control replicas: those of the settings and of all known members. */
+  private peerAddresses(): readonly string[] {
     const { peerAddress, replica: own } = this.options;
     const known = own.status().members.map((member) => member.address);
-    return [...new Set([...this.control, ...known])].filter((address) => address !== peerAddress);
+    return [...new Set([...this.controlAddresses, ...known])].filter((address) => address !== peerAddress);
   }
 
-  private joinOrFound(): void {
+  private joinOrBootstrap(): void {
     const { peers, replica: own } = this.options;
-    const lonely = own.silentFor() > ASK_MEMBERSHIP_AFTER;
-    if (this.isMember() && !lonely) {
+    const hasLostLeader = own.silentFor() > LEADER_CONTACT_TIMEOUT;
+    if (this.isMember() && !hasLostLeader) {
       return;
     }
-    const others = this.askedAddresses();
+    const others = this.peerAddresses();
     const answers: methods.HelloAnswer[] = [];
-    let open = others.length;
-    const decide = (): void => {
-      this.decide(answers, others.length);
+    let pending = others.length;
+    const onAllAnswered = (): void => {
+      this.onHelloAnswers(answers, others.length);
     };
-    if (open === 0) {
-      decide();
+    if (pending === 0) {
+      onAllAnswered();
     }
     for (const address of others) {
       peers.request(address, methods.methods.hello, null, REQUEST_TIMEOUT, (result) => {
-        open -= 1;
+        pending -= 1;
         if (result.ok) {
           answers.push(result.val as methods.HelloAnswer);
         }
-        if (open === 0) {
-          decide();
+        if (pending === 0) {
+          onAllAnswered();
         }
       });
     }
   }
 
-  private decide(answers: readonly methods.HelloAnswer[], asked: number): void {
-    const { peerAddress, replica: own, random, identity, name, dataCentre, mayFound } = this.options;
+  private onHelloAnswers(answers: readonly methods.HelloAnswer[], expected: number): void {
+    const { peerAddress, replica: own, random, identity, name, dataCentre, mayBootstrap } = this.options;
     if (this.isMember()) {
       this.rejoinIfRemoved(answers);
       return;
     }
-    const founded = answers.find((answer) => answer.clusterIdentity !== '');
-    if (founded !== undefined) {
+    const clusterMember = answers.find((answer) => answer.clusterIdentity !== '');
+    if (clusterMember !== undefined) {
       this.join(answers);
       return;
     }
-    // A replica that lost its disk looks like a new one. Founding while any other is silent could make a
-    // second cluster beside the one that the silent replicas belong to; so all must answer, and all be new.
-    const first = [...this.control].sort()[0] === peerAddress;
-    if (mayFound && answers.length === asked && first && own.status().clusterIdentity === '') {
+    // A replica that lost its disk cannot be told from a new one. Bootstrapping while another replica does not
+    // answer could create a second cluster, so all must answer and all must be new.
+    const isFirst = [...this.controlAddresses].sort()[0] === peerAddress;
+    if (mayBootstrap && answers.length === expected && isFirst && own.status().clusterIdentity === '') {
       this.options.log.info('clusterFounded', { identity });
-      own.found(random.identity(), { identity, name, address: peerAddress, dataCentre, role: 'voter' });
+      own.found(random.identity(), {
+        identity,
+        name,
+        address: peerAddress,
+        dataCentre,
+        role: 'voter',
+      });
     }
   }
 
   /**
-   * A voter that was silent for long was removed by the others, and its own log does not say so: nobody sends
-   * it anything any more. A leader that does not list it takes it in again.
+   * Rejoins after the other members removed this replica as unresponsive. Its own log does not contain the
+   * removal, since members no longer replicate to it; the member list of the leader shows it.
    */
   private rejoinIfRemoved(answers: readonly methods.HelloAnswer[]): void {
     const { identity } = this.options;
@@ -217,9 +225,9 @@
       reply(results.Ok(answer));
       return;
     }
-    this.joinAskedAt = this.options.timers.now();
+    this.lastJoinRequestAt = this.options.timers.now();
     const former = status.members.find((member) => member.name === request.name);
-    // One address is one process: whoever asks from a member's address under a new identity has replaced it.
+    // An address belongs to one process: a request from a member's address under a new identity replaces it.
     if (former !== undefined && former.address !== request.address && this.isAlive(former)) {
       const message = `Control replica ${request.name} is alive under another identity.`;
       const remedy =
@@ -237,15 +245,15 @@
     const { replica: own, identity, timers } = this.options;
     const progress = own.progressOf(member.identity);
     return (
-      member.identity === identity || (progress?.acknowledgedAt ?? -Infinity) > timers.now() - ALIVE_WITHIN
+      member.identity === identity ||
+      (progress?.acknowledgedAt ?? -Infinity) > timers.now() - MEMBER_LIVENESS_TIMEOUT
     );
   }
 
   /**
-   * Takes one step towards a full set of voters: a learner that has caught up first displaces the lost
-   * identity of its VM, then becomes a voter. The lost one goes first because it can never answer again;
-   * counting it would only raise the quorum. Steps are separate, since a majority of the members before
-   * each must overlap with one after it.
+   * Performs one membership change towards the required set of voters. A learner that has caught up first
+   * replaces the lost identity of its VM, which would only raise the quorum, and then becomes a voter. Members
+   * change one at a time, so that the majorities before and after each change overlap.
    */
   private repair(): void {
     const { replica: own, identity } = this.options;
@@ -253,41 +261,43 @@
       return;
     }
     const { members } = own.status();
-    this.noteSpread(members);
+    this.recordVoterSpread(members);
     const ready = members.filter((member) => this.hasCaughtUp(member));
-    const isShort = this.aliveVoters(members).length < this.wantedVoters;
+    const lacksVoters = this.responsiveVoters(members).length < this.wantedVoters;
     const lost = members.find((member) => ready.some((learner) => isReplaced(member, learner)));
-    const promoted = voterSpread.promotable(members, ready, isShort);
-    const surplus = voterSpread.surplus(members, this.wantedVoters, identity);
+    const promoted = voterSpread.findPromotableLearner(members, ready, lacksVoters);
+    const surplus = voterSpread.findSurplusVoter(members, this.wantedVoters, identity);
     if (lost !== undefined) {
       const others = members.filter((member) => member !== lost);
-      this.change(others, lost, 'lostRemoved');
+      this.changeMembers(others, lost, 'lostRemoved');
     } else if (promoted !== undefined) {
-      this.change(voterSpread.withRole(members, [promoted], 'voter'), promoted, 'promoted');
+      this.changeMembers(voterSpread.withRole(members, [promoted], 'voter'), promoted, 'promoted');
     } else if (surplus !== undefined) {
-      this.change(voterSpread.withRole(members, [surplus], 'learner'), surplus, 'demoted');
+      this.changeMembers(voterSpread.withRole(members, [surplus], 'learner'), surplus, 'demoted');
     } else {
-      this.removeSilent(members);
+      this.removeUnresponsiveMember(members);
     }
   }
 
-  private aliveVoters(members: readonly consensus.Member[]): readonly consensus.Member[] {
-    return members.filter((member) => member.role === 'voter' && this.silenceOf(member) < REPLACED_VOTER);
+  private responsiveVoters(members: readonly consensus.Member[]): readonly consensus.Member[] {
+    return members.filter(
+      (member) => member.role === 'voter' && this.timeSinceAnswer(member) < REPLACED_VOTER_TIMEOUT,
+    );
   }
 
   private get wantedVoters(): number {
     return 2 * this.options.toleratedLosses + 1;
   }
 
-  /** True for a learner that lacks next to nothing and answers. */
+  /** True for a responsive learner that lacks at most `MAXIMUM_PROMOTION_LAG` log entries. */
   private hasCaughtUp(member: consensus.Member): boolean {
     const { replica: own } = this.options;
     const matchIndex = own.progressOf(member.identity)?.matchIndex ?? 0;
-    const isNear = matchIndex > 0 && matchIndex + PROMOTION_LAG >= own.status().commitIndex;
-    return member.role === 'learner' && isNear && this.silenceOf(member) <= REPLACED_VOTER;
+    const isNear = matchIndex > 0 && matchIndex + MAXIMUM_PROMOTION_LAG >= own.status().commitIndex;
+    return member.role === 'learner' && isNear && this.timeSinceAnswer(member) <= REPLACED_VOTER_TIMEOUT;
   }
 
-  private change(members: readonly consensus.Member[], changed: consensus.Member, step: string): void {
+  private changeMembers(members: readonly consensus.Member[], changed: consensus.Member, step: string): void {
     const { replica: own, log } = this.options;
     own.changeMembers(members, (result) => {
       if (result.ok) {
@@ -296,15 +306,15 @@
     });
   }
 
-  private noteSpread(members: readonly consensus.Member[]): void {
-    const tolerates = voterSpread.toleratesAnyLoss(members);
+  private recordVoterSpread(members: readonly consensus.Member[]): void {
+    const tolerates = voterSpread.toleratesAnyDataCentreLoss(members);
     if (tolerates !== this.toleratesDataCentreLoss) {
       this.toleratesDataCentreLoss = tolerates;
       this.options.log.info('voterSpread', { toleratesDataCentreLoss: tolerates });
     }
   }
 
-  private silenceOf(member: consensus.Member): number {
+  private timeSinceAnswer(member: consensus.Member): number {
     const { replica: own, identity, timers } = this.options;
     if (member.identity === identity) {
       return 0;
@@ -313,29 +323,37 @@
   }
 
   /**
-   * Removes a member that is silent, one at a time. A voter that is gone for good still raises the quorum:
-   * with four voters, one gone, the next loss would stop every change. It goes only where the voters that are
-   * alive survive the tolerated losses without it, so removing one that is merely slow costs nothing.
+   * Removes one unresponsive member. A lost voter still raises the quorum: with four voters, one of them lost,
+   * the next loss would stop every change. A voter is removed only if the responsive voters tolerate the required
+   * losses without it, so removing one that is merely slow does no harm.
    */
-  private removeSilent(members: readonly consensus.Member[]): void {
+  private removeUnresponsiveMember(members: readonly consensus.Member[]): void {
     const { replica: own, log } = this.options;
     const voters = members.filter((member) => member.role === 'voter');
-    const isEnough = this.aliveVoters(members).length >= this.wantedVoters;
-    const limit = isEnough ? SILENT_VOTER : Number.POSITIVE_INFINITY;
-    const replaced = isEnough && voters.length > this.wantedVoters;
-    const silent = members.find(
+    const hasEnoughVoters = this.responsiveVoters(members).length >= this.wantedVoters;
+    const voterTimeout = hasEnoughVoters ? VOTER_REMOVAL_TIMEOUT : Number.POSITIVE_INFINITY;
+    const hasSurplusVoter = hasEnoughVoters && voters.length > this.wantedVoters;
+    const unresponsive = members.find(
       (member) =>
-        this.silenceOf(member) >
-        (member.role === 'learner' ? SILENT_LEARNER : replaced ? REPLACED_VOTER : limit),
+        this.timeSinceAnswer(member) >
+        (member.role === 'learner'
+          ? LEARNER_REMOVAL_TIMEOUT
+          : hasSurplusVoter
+            ? REPLACED_VOTER_TIMEOUT
+            : voterTimeout),
     );
-    if (silent === undefined || own.leadsFor() < SILENT_VOTER) {
+    if (unresponsive === undefined || own.leadsFor() < VOTER_REMOVAL_TIMEOUT) {
       return;
     }
     own.changeMembers(
-      members.filter((member) => member !== silent),
+      members.filter((member) => member !== unresponsive),
       (result) => {
         if (result.ok) {
-          log.warn('memberRemoved', { replica: silent.name, identity: silent.identity, reason: 'silent' });
+          log.warn('memberRemoved', {
+            replica: unresponsive.name,
+            identity: unresponsive.identity,
+            reason: 'silent',
+          });
         }
       },
     );
--- a/packages/kumquatfront/src/controlNode/methods.ts
+++ b/packages/kumquatfront/src/controlNode/methods.ts
@@ -1,12 +1,12 @@
 /**
- * Methods that control replicas serve to entries and to each other, with the shapes of their messages.
+ * Names and message types of the methods that control replicas and entries serve to each other.
  */
 import type * as agreedState from '../agreedState/types.js';
 import type * as configuration from '../configuration/types.js';
 import type * as consensus from '../consensus/types.js';
 import type * as directory from '../directory/types.js';
 
-/** Names of the methods. */
+/** Method names on the wire. */
 export const methods = {
   consensus: 'control.consensus',
   join: 'control.join',
@@ -24,41 +24,41 @@
   entryOrder: 'entry.order',
 } as const;
 
-/** Asks for the configuration after a version. */
+/** Requests the configuration changes after a version. */
 export interface PullRequest {
   readonly version: number;
-  /** Revision of the evacuated data centres that the puller knows. */
+  /** Revision of the evacuations that the requester has. */
   readonly evacuationRevision: number;
-  /** True where only the leader under its lease may answer. */
+  /** True if only the leader may answer, while it holds its lease. */
   readonly leaderOnly: boolean;
-  /** The entry that pulls; its version shows how far a change is in force. */
+  /** The requesting entry; its version shows how far a change has been rolled out. */
   readonly presence: directory.EntryPresence | null;
 }
 
-/** Answers a pull. */
+/** Answer to a `PullRequest`. */
 export interface PullAnswer {
-  /** False where the answerer may be behind: the puller should ask another. */
+  /** False if the responder may be out of date; the requester should send the request to another. */
   readonly fresh: boolean;
-  /** Milliseconds since the answerer itself heard from control; 0 for control. */
+  /** Milliseconds since the responder last received an update from control; 0 for a control replica. */
   readonly age: number;
-  /** Absent where nothing changed or the answerer is not fresh. */
+  /** Absent if nothing changed or the responder is not fresh. */
   readonly delta?: configuration.ConfigurationDelta;
-  /** Absent where the puller is up to date or the answerer is not fresh. */
+  /** Absent if the requester is up to date or the responder is not fresh. */
   readonly evacuations?: agreedState.Evacuations;
 }
 
-/** Asks a replica who it is, before it is told to join or to found a cluster. */
+/** Identity and cluster of a replica; used to decide whether to join or to bootstrap a cluster. */
 export interface HelloAnswer {
   readonly identity: string;
   readonly clusterIdentity: string;
   readonly leaderAddress: string;
-  /** Identities of the members that the answerer knows. */
+  /** Identities of the members known to the responder. */
   readonly members: readonly string[];
-  /** True where the answerer leads and hears from a quorum. */
+  /** True if the responder is the leader and in contact with a quorum. */
   readonly leads: boolean;
 }
 
-/** Asks the leader to take a replica in. */
+/** Requests that the leader adds a replica as a learner. */
 export interface JoinRequest {
   readonly identity: string;
   readonly name: string;
@@ -66,23 +66,23 @@
   readonly dataCentre: string;
 }
 
-/** Answers a request to join. */
+/** Answer to a `JoinRequest`. */
 export interface JoinAnswer {
   readonly clusterIdentity: string;
   readonly members: readonly consensus.Member[];
 }
 
-/** Claims of one entry, gathered over a few milliseconds. */
+/** A batch of claims from one entry. */
 export interface ClaimsRequest {
   readonly claims: readonly agreedState.ClaimCommand[];
 }
 
-/** Answers to claims, in the order asked. */
+/** Answers to a batch of claims, in the same order. */
 export interface ClaimsAnswer {
   readonly answers: readonly agreedState.ClaimAnswer[];
 }
 
-/** What one replica knows, for `status`. */
+/** State of one control replica, as shown by `status`. */
 export interface ControlStatus {
   readonly name: string;
   readonly replica: consensus.ReplicaStatus;
@@ -90,10 +90,10 @@
   readonly digest: string;
   readonly claims: number;
   readonly openOrders: number;
-  /** True where the voters outside any one data centre are a majority. */
+  /** True if a majority of the voters remains after the loss of any one data centre. */
   readonly toleratesDataCentreLoss: boolean;
-  /** Data centres whose upstreams get nothing new. */
+  /** Data centres whose upstreams receive no new requests. */
   readonly evacuations: agreedState.Evacuations;
-  /** Entries seen by this replica, with the version each has in force. */
+  /** Entries seen by this replica, with the configuration version that each applies. */
   readonly entries: readonly directory.EntryPresence[];
 }
--- a/packages/kumquatfront/src/controlNode/voterSpread.ts
+++ b/packages/kumquatfront/src/controlNode/voterSpread.ts
@@ -1,6 +1,6 @@
 /**
- * How the voters of control are spread over data centres, and which change of the members keeps a majority that outlives
- * the loss of any one of them.
+ * Selects membership changes that spread the control voters over data centres, so that a majority survives the loss
+ * of any one data centre.
  */
 import type * as consensus from '../consensus/types.js';
 
@@ -8,7 +8,7 @@
   return members.filter((member) => member.role === 'voter');
 }
 
-/** Voters of each data centre. */
+/** Number of voters in each data centre. */
 function countByDataCentre(voters: readonly consensus.Member[]): ReadonlyMap<string, number> {
   const counts = new Map<string, number>();
   for (const { dataCentre = '' } of voters) {
@@ -18,27 +18,27 @@
 }
 
 /**
- * Tells whether the voters outside any one data centre are a majority.
+ * Returns whether a majority of the voters remains after the loss of any one data centre.
  *
- * @param members - members, learners among them
- * @returns false too where all voters are in one data centre
+ * @param members - all members, including learners
+ * @returns false also if all voters are in one data centre
  * @example
  * ```ts
- * voterSpread.toleratesAnyLoss(replica.status().members);
+ * voterSpread.toleratesAnyDataCentreLoss(replica.status().members);
  * ```
  */
-export function toleratesAnyLoss(members: readonly consensus.Member[]): boolean {
+export function toleratesAnyDataCentreLoss(members: readonly consensus.Member[]): boolean {
   const voters = votersOf(members);
   const largest = Math.max(0, ...countByDataCentre(voters).values());
   return voters.length - largest > voters.length / 2;
 }
 
 /**
- * Gives some members another role.
+ * Changes the role of some members.
  *
  * @param members - all members
- * @param changed - those that get the role
- * @param role - the role
+ * @param changed - members whose role changes
+ * @param role - the new role
  * @returns all members, in the same order
  * @example
  * ```ts
@@ -54,58 +54,59 @@
 }
 
 /**
- * Finds a learner to make a voter, where that does no harm: of voters that tolerate the loss of any data centre one more in
- * the wrong place may make a set that does not. Members change one at a time, so a set on the way may be such one, if
- * the learners that are ready now end it.
+ * Finds a learner to promote without losing the tolerance of a data centre loss: an additional voter in the wrong
+ * data centre may remove it. Since members change one at a time, a temporary loss of the tolerance is accepted if
+ * promoting all ready learners restores it.
  *
- * @param members - members as they are
+ * @param members - current members
  * @param ready - learners that have caught up
- * @param isShort - true where fewer voters are alive than there must be, wherever they are
- * @returns the learner; undefined where none is to be made a voter
+ * @param lacksVoters - true if fewer voters respond than are required; any data centre is accepted then
+ * @returns the learner; undefined if none should be promoted
  * @example
  * ```ts
- * const learner = voterSpread.promotable(members, ready, aliveVoters < 5);
+ * const learner = voterSpread.findPromotableLearner(members, ready, responsiveVoters < 5);
  * ```
  */
-export function promotable(
+export function findPromotableLearner(
   members: readonly consensus.Member[],
   ready: readonly consensus.Member[],
-  isShort: boolean,
+  lacksVoters: boolean,
 ): consensus.Member | undefined {
   const toleratesAfter = (learners: readonly consensus.Member[]): boolean =>
-    toleratesAnyLoss(withRole(members, learners, 'voter'));
-  const best = ready.find((learner) => toleratesAfter([learner])) ?? ready[0];
-  if (best === undefined) {
+    toleratesAnyDataCentreLoss(withRole(members, learners, 'voter'));
+  const candidate = ready.find((learner) => toleratesAfter([learner])) ?? ready[0];
+  if (candidate === undefined) {
     return undefined;
   }
-  const isHarmless = !toleratesAnyLoss(members) || toleratesAfter([best]) || toleratesAfter(ready);
-  return isShort || isHarmless ? best : undefined;
+  const isHarmless =
+    !toleratesAnyDataCentreLoss(members) || toleratesAfter([candidate]) || toleratesAfter(ready);
+  return lacksVoters || isHarmless ? candidate : undefined;
 }
 
 /**
- * Finds a voter to make a learner, so that the others tolerate the loss of any data centre, where they do not now.
+ * Finds a voter to demote, so that the remaining voters tolerate the loss of any data centre.
  *
- * Failure: a repair has put another replica into a data centre that held two already. With the replica that was missed
- * back in its own, three of six voters are in one place; its loss stops every change although enough others run.
+ * Guards against a surplus voter left by a repair: with three of six voters in one data centre, its loss stops every
+ * change although enough replicas run.
  *
- * @param members - members as they are
- * @param wanted - voters that must stay
- * @param spared - identity of a member that is left a voter: the leader
- * @returns the voter; undefined where none is to step back
+ * @param members - current members
+ * @param requiredVoters - minimum number of voters to keep
+ * @param retainedIdentity - identity of a voter that must not be demoted: the leader
+ * @returns the voter; undefined if none should be demoted
  * @example
  * ```ts
- * const voter = voterSpread.surplus(members, 5, identity);
+ * const voter = voterSpread.findSurplusVoter(members, 5, identity);
  * ```
  */
-export function surplus(
+export function findSurplusVoter(
   members: readonly consensus.Member[],
-  wanted: number,
-  spared: string,
+  requiredVoters: number,
+  retainedIdentity: string,
 ): consensus.Member | undefined {
   const voters = votersOf(members);
-  if (toleratesAnyLoss(members) || voters.length <= wanted) {
+  if (toleratesAnyDataCentreLoss(members) || voters.length <= requiredVoters) {
     return undefined;
   }
-  const candidates = voters.filter((voter) => voter.identity !== spared);
-  return candidates.find((voter) => toleratesAnyLoss(withRole(members, [voter], 'learner')));
+  const candidates = voters.filter((voter) => voter.identity !== retainedIdentity);
+  return candidates.find((voter) => toleratesAnyDataCentreLoss(withRole(members, [voter], 'learner')));
 }
--- a/packages/kumquatfront/src/streams/generationRelay.spec.ts
+++ b/packages/kumquatfront/src/streams/generationRelay.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The relay against an engine that says wrong things at the wrong time.
+ * Tests the generation relay against an engine that sends wrong, late and repeated events.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -8,19 +8,19 @@
 import * as generationRelay from './generationRelay.js';
 import type * as types from './types.js';
 
-/** A relay with a hand-driven engine, and what its caller got. */
-class Bench {
-  readonly got: string[] = [];
-  readonly opened: { readonly kind: string; readonly listener: types.GenerationListener }[] = [];
-  readonly left: string[] = [];
-  dropped = 0;
-  /** Gives the place that was asked for; at once unless told otherwise. */
-  grant: () => void = () => undefined;
+/** Runs a relay with a manually driven engine and records the events its caller receives. */
+class GenerationRelayTestHarness {
+  readonly callerEvents: string[] = [];
+  readonly connections: { readonly kind: string; readonly listener: types.GenerationListener }[] = [];
+  readonly releases: string[] = [];
+  discardedEvents = 0;
+  /** Grants the requested placement; called immediately unless `grantsImmediately` is false. */
+  grantPlacement: () => void = () => undefined;
   readonly relay: generationRelay.GenerationRelay;
 
-  constructor(mayRestart = false, grantsAtOnce = true) {
+  constructor(mayRestart = false, grantsImmediately = true) {
     const open = (kind: string) => (listener: types.GenerationListener) => {
-      this.opened.push({ kind, listener });
+      this.connections.push({ kind, listener });
       return { pause: () => undefined, resume: () => undefined, close: () => undefined };
     };
     const clock = { now: () => 0, wall: () => 0 };
@@ -47,26 +47,26 @@
       caller: {
         accepted: () => undefined,
         token: (_token, index) => {
-          this.got.push(String(index));
+          this.callerEvents.push(String(index));
           return true;
         },
         restarted: () => {
-          this.got.push('restart');
+          this.callerEvents.push('restart');
         },
         ended: (count) => {
-          this.got.push(`ended ${count}`);
+          this.callerEvents.push(`ended ${count}`);
         },
         refused: (refusal) => {
-          this.got.push(refusal.kind);
+          this.callerEvents.push(refusal.kind);
         },
       },
       host: {
         place: (_exclude, done) => {
-          this.grant = () => {
+          this.grantPlacement = () => {
             done({ type: 'granted', upstream: { announcement } as never });
           };
-          if (grantsAtOnce) {
-            this.grant();
+          if (grantsImmediately) {
+            this.grantPlacement();
           }
           return () => undefined;
         },
@@ -74,11 +74,11 @@
         mayRetry: () => true,
         progressed: () => undefined,
         left: (upstream, _produced, reason) => {
-          this.left.push(`${upstream} ${reason}`);
+          this.releases.push(`${upstream} ${reason}`);
         },
         stalled: () => undefined,
         dropped: () => {
-          this.dropped += 1;
+          this.discardedEvents += 1;
         },
         otherEntries: () => [],
         finished: () => undefined,
@@ -88,17 +88,16 @@
   }
 
   listener(position: number): types.GenerationListener {
-    const found = this.opened[position]?.listener;
+    const found = this.connections[position]?.listener;
     assert.ok(found);
     return found;
   }
 }
 
-// The engine crosses two streams and repeats itself: tokens of another generation and tokens that were relayed
-// already come in between. The caller sees neither, and loses nothing.
-void test.test('tokens of another generation and repeated tokens are dropped', () => {
-  const bench = new Bench();
-  const engine = bench.listener(0);
+// Guards against forwarding tokens of another generation or tokens that were already relayed.
+void test.test('tokens of another generation and repeated tokens are discarded', () => {
+  const harness = new GenerationRelayTestHarness();
+  const engine = harness.listener(0);
   engine.opened();
   engine.token('r.1', 0, 'a');
   engine.token('other.1', 1, 'x');
@@ -106,55 +105,52 @@
   engine.token('r.1', 1, 'b');
   engine.ended('other.1', 1);
   engine.ended('r.1', 2);
-  assert.deepEqual(bench.got, ['0', '1', 'ended 2']);
-  assert.equal(bench.dropped, 3);
+  assert.deepEqual(harness.callerEvents, ['0', '1', 'ended 2']);
+  assert.equal(harness.discardedEvents, 3);
 });
 
-// A token is missing in the stream, or the end comes before the last one. The relay asks for the rest of the
-// same generation from the index that it lacks.
+// Guards against lost tokens: a token is missing in the stream, or the end arrives before the last token.
 void test.test('a gap is filled by resuming from the missing index', () => {
-  const bench = new Bench();
-  bench.listener(0).token('r.1', 0, 'a');
-  bench.listener(0).token('r.1', 2, 'c');
-  assert.equal(bench.opened[1]?.kind, 'resume r.1 from 1');
-  bench.listener(1).token('r.1', 1, 'b');
-  bench.listener(1).ended('r.1', 3);
-  assert.equal(bench.opened[2]?.kind, 'resume r.1 from 2');
-  bench.listener(2).token('r.1', 2, 'c');
-  bench.listener(2).ended('r.1', 3);
-  assert.deepEqual(bench.got, ['0', '1', '2', 'ended 3']);
+  const harness = new GenerationRelayTestHarness();
+  harness.listener(0).token('r.1', 0, 'a');
+  harness.listener(0).token('r.1', 2, 'c');
+  assert.equal(harness.connections[1]?.kind, 'resume r.1 from 1');
+  harness.listener(1).token('r.1', 1, 'b');
+  harness.listener(1).ended('r.1', 3);
+  assert.equal(harness.connections[2]?.kind, 'resume r.1 from 2');
+  harness.listener(2).token('r.1', 2, 'c');
+  harness.listener(2).ended('r.1', 3);
+  assert.deepEqual(harness.callerEvents, ['0', '1', '2', 'ended 3']);
 });
 
-// The engine loses the generation after a token. A restart voids what the caller has; afterwards a late token
-// and a late end of the lost generation arrive on its old connection and change nothing.
-void test.test('late news of a voided generation reaches nobody', () => {
-  const bench = new Bench(true);
-  bench.listener(0).token('r.1', 0, 'a');
-  bench.listener(0).failed('unknownGeneration', '');
-  bench.listener(1).token('r.2', 0, 'A');
-  bench.listener(0).token('r.1', 1, 'b');
-  bench.listener(0).ended('r.1', 2);
-  bench.listener(1).token('r.1', 1, 'b');
-  bench.listener(1).ended('r.2', 1);
-  assert.deepEqual(bench.got, ['0', 'restart', '0', 'ended 1']);
+// Guards against late events of a lost generation after the request was restarted on another engine.
+void test.test('late events of a discarded generation do not reach the caller', () => {
+  const harness = new GenerationRelayTestHarness(true);
+  harness.listener(0).token('r.1', 0, 'a');
+  harness.listener(0).failed('unknownGeneration', '');
+  harness.listener(1).token('r.2', 0, 'A');
+  harness.listener(0).token('r.1', 1, 'b');
+  harness.listener(0).ended('r.1', 2);
+  harness.listener(1).token('r.1', 1, 'b');
+  harness.listener(1).ended('r.2', 1);
+  assert.deepEqual(harness.callerEvents, ['0', 'restart', '0', 'ended 1']);
 });
 
-void test.test('an engine that accepts and breaks off again and again is given up', () => {
-  const bench = new Bench();
-  bench.listener(0).token('r.1', 0, 'a');
-  bench.listener(0).token('r.1', 5, 'f');
-  bench.listener(1).opened();
-  bench.listener(1).token('r.1', 5, 'f');
-  bench.listener(2).token('r.1', 5, 'f');
-  assert.deepEqual(bench.got, ['0', 'interrupted']);
+void test.test('an engine that accepts but repeatedly makes no progress is abandoned', () => {
+  const harness = new GenerationRelayTestHarness();
+  harness.listener(0).token('r.1', 0, 'a');
+  harness.listener(0).token('r.1', 5, 'f');
+  harness.listener(1).opened();
+  harness.listener(1).token('r.1', 5, 'f');
+  harness.listener(2).token('r.1', 5, 'f');
+  assert.deepEqual(harness.callerEvents, ['0', 'interrupted']);
 });
 
-// The caller goes away while its request waits in the queue, and the place is granted a moment later. Nothing is
-// sent to the engine, and the place is given back; it would count as running for ever otherwise.
-void test.test('a place that comes after the caller went away is given back', () => {
-  const bench = new Bench(false, false);
-  bench.relay.callerGone();
-  bench.grant();
-  assert.equal(bench.opened.length, 0);
-  assert.deepEqual(bench.left, ['e1 callerGone']);
+// Guards against a placement that counts as running indefinitely because its caller disconnected in the queue.
+void test.test('a placement granted after the caller disconnected is released', () => {
+  const harness = new GenerationRelayTestHarness(false, false);
+  harness.relay.callerGone();
+  harness.grantPlacement();
+  assert.equal(harness.connections.length, 0);
+  assert.deepEqual(harness.releases, ['e1 callerGone']);
 });
--- a/packages/kumquatfront/src/streams/generationRelay.ts
+++ b/packages/kumquatfront/src/streams/generationRelay.ts
@@ -1,7 +1,7 @@
 /**
- * Relays one request from engines to its caller: every token once, in order, from a single generation. It
- * finds stalls, resumes on a new connection, and runs the request again elsewhere only while that cannot
- * mix two generations.
+ * Relays the tokens of one request from an engine to its caller, each exactly once and in order. Detects stalled
+ * connections, resumes on a new one, and reruns the request on another engine only if the caller cannot
+ * receive tokens of two generations as one answer.
  */
 import type * as ports from '../kernel/ports.js';
 import type * as timerService from '../kernel/timerService.js';
@@ -9,10 +9,10 @@
 import * as quarantineRefusals from './quarantineRefusals.js';
 import type * as types from './types.js';
 
-/** Why a relay leaves an upstream; `neverSent` where no byte of the request can have arrived there. */
+/** Why a relay released an upstream; `neverSent` if no byte of the request can have reached it. */
 export type LeaveReason = 'whole' | 'failure' | 'neverSent' | 'stall' | 'refused' | 'callerGone' | 'invalid';
 
-/** What a relay asks of the entry. */
+/** Services and notifications that the entry provides to a relay. */
 export interface RelayHost {
   readonly place: (
     exclude: ReadonlySet<string>,
@@ -21,22 +21,22 @@
   readonly issueToken: (target: types.UpstreamTarget, generation: string) => string;
   readonly mayRetry: () => boolean;
   readonly progressed: (produced: number) => void;
-  /** The relay has left an upstream. */
+  /** The relay no longer uses the upstream. */
   readonly left: (upstream: string, produced: number, reason: LeaveReason) => void;
   readonly stalled: (milliseconds: number) => void;
   readonly dropped: () => void;
   /** Addresses of other entries, for refusals. */
   readonly otherEntries: () => readonly string[];
-  /** Called once, when nothing more will happen. */
+  /** Called once, when the relay has ended. */
   readonly finished: () => void;
 }
 
-/** What a relay is made from. */
-export interface RelayOptions {
+/** Options of a generation relay. */
+export interface GenerationRelayOptions {
   readonly requestId: string;
-  /** The request; undefined where a resumed stream cannot be run again. */
+  /** The request; undefined for a resumed stream, which cannot be rerun. */
   readonly order: Omit<types.GenerationOrder, 'generation'> | undefined;
-  /** True where the caller understands a restart and the selector allows it. */
+  /** True if the caller supports restarts and the selector allows them. */
   readonly mayRestart: boolean;
   readonly engines: types.GenerationPort;
   readonly timers: timerService.TimerService;
@@ -45,31 +45,32 @@
   readonly host: RelayHost;
 }
 
-const PROGRESS_EVERY = 16;
-const RETRY_AFTER = 1_000;
+/** Tokens between two progress reports. */
+const PROGRESS_REPORT_INTERVAL = 16;
+const RETRY_AFTER_DELAY = 1_000;
 
-/** One relay; see the module comment. */
+/** Relays one request; see the module comment. */
 export class GenerationRelay implements types.StreamHandle {
-  private readonly options: RelayOptions;
+  private readonly options: GenerationRelayOptions;
   private target: types.UpstreamTarget | undefined;
   private generation = '';
   private generationCount = 0;
   private nextIndex = 0;
   private tokenPrefix = '';
   private connection: types.GenerationConnection | undefined;
-  /** Grows with every connection; news of a former connection is recognised by its number. */
+  /** Incremented for every connection, so that events of an earlier connection are recognised as stale. */
   private connectionNumber = 0;
   private resumesWithoutProgress = 0;
-  private opened = false;
+  private accepted = false;
   private connectionsOfGeneration = 0;
   private lastProgressAt = 0;
   private paused = false;
-  private over = false;
-  private readonly exclude = new Set<string>();
+  private isFinished = false;
+  private readonly excludedUpstreams = new Set<string>();
   private cancelTimer: ports.Cancel = () => undefined;
   private cancelPlacement: ports.Cancel = () => undefined;
 
-  constructor(options: RelayOptions) {
+  constructor(options: GenerationRelayOptions) {
     this.options = options;
   }
 
@@ -79,10 +80,10 @@
 
   /** Starts a new request. */
   start(): void {
-    this.placeAgain();
+    this.requestPlacement();
   }
 
-  /** Goes on with a generation that another entry, or a former connection, has begun. */
+  /** Resumes a generation that another entry or an earlier connection started. */
   resumeFrom(target: types.UpstreamTarget, generation: string, nextIndex: number): void {
     this.target = target;
     this.generation = generation;
@@ -93,54 +94,56 @@
     this.reconnect();
   }
 
-  private placeAgain(): void {
-    this.cancelPlacement = this.options.host.place(this.exclude, (placement) => {
-      if (this.over) {
-        this.giveBack(placement);
+  private requestPlacement(): void {
+    this.cancelPlacement = this.options.host.place(this.excludedUpstreams, (placement) => {
+      if (this.isFinished) {
+        this.releasePlacement(placement);
         return;
       }
       if (placement.type === 'granted') {
         const { name, address } = placement.upstream.announcement;
         this.dispatch({ name, address });
       } else {
-        this.refusePlacement(placement.refusal);
+        this.onPlacementRefused(placement.refusal);
       }
     });
   }
 
   /**
-   * The caller went away while the request waited, and the place came after all. Kept, it would count as a
-   * running generation for ever, and the engine would look fuller than it is.
+   * Releases a placement granted after the caller disconnected. Otherwise it would count as a running
+   * generation indefinitely, and the engine would appear more loaded than it is.
    */
-  private giveBack(placement: routing.Placement): void {
+  private releasePlacement(placement: routing.Placement): void {
     if (placement.type === 'granted') {
       this.options.host.left(placement.upstream.announcement.name, 0, 'callerGone');
     }
   }
 
-  private refusePlacement(refusal: routing.PlacementRefusal): void {
+  private onPlacementRefused(refusal: routing.PlacementRefusal): void {
     if (refusal.reason === 'quarantined') {
-      this.finish(this.generationCount === 0 ? quarantineRefusals.notRun : quarantineRefusals.interrupted);
+      this.refuse(this.generationCount === 0 ? quarantineRefusals.notRun : quarantineRefusals.interrupted);
       return;
     }
-    const full = refusal.reason === 'queueFull';
-    this.finish({
-      // A generation that an engine had accepted may have run there, however little came of it.
+    const isQueueFull = refusal.reason === 'queueFull';
+    this.refuse({
+      // An engine that accepted an earlier generation may have run it, even if no token was received.
       kind: this.generationCount === 0 ? 'notRun' : 'interrupted',
-      status: full ? 429 : 503,
-      message: full ? 'The queue for this traffic is full.' : 'No upstream can take the request.',
-      remedy: 'Send it again after the given time.',
+      status: isQueueFull ? 429 : 503,
+      message: isQueueFull
+        ? 'The queue for this traffic is full.'
+        : 'No upstream is available for the request.',
+      remedy: 'Retry after the given time.',
       retryAfter: refusal.retryAfter,
       entries: this.options.host.otherEntries(),
     });
   }
 
   private dispatch(target: types.UpstreamTarget): void {
-    const { order, requestId, host, engines, caller } = this.options;
-    if (order === undefined) {
+    const { order: request, requestId, host, engines, caller } = this.options;
+    if (request === undefined) {
       return;
     }
-    const restarted = this.generationCount > 0 && this.nextIndex > 0;
+    const isRestart = this.generationCount > 0 && this.nextIndex > 0;
     this.generationCount += 1;
     this.generation = `${requestId}.${this.generationCount}`;
     this.target = target;
@@ -149,26 +152,28 @@
     this.connectionsOfGeneration = 0;
     this.lastProgressAt = this.now();
     this.tokenPrefix = host.issueToken(target, this.generation);
-    if (restarted) {
+    if (isRestart) {
       caller.restarted(`${this.tokenPrefix}.0`);
     } else {
       caller.accepted(`${this.tokenPrefix}.0`);
     }
-    this.openWith((listener) => engines.start(target, { ...order, generation: this.generation }, listener));
+    this.openConnection((listener) =>
+      engines.start(target, { ...request, generation: this.generation }, listener),
+    );
   }
 
-  private openWith(open: (listener: types.GenerationListener) => types.GenerationConnection): void {
+  private openConnection(open: (listener: types.GenerationListener) => types.GenerationConnection): void {
     this.connection?.close();
     this.connectionNumber += 1;
     this.connectionsOfGeneration += 1;
-    this.opened = false;
-    const number = this.connectionNumber;
-    const isCurrent = (): boolean => number === this.connectionNumber && !this.over;
+    this.accepted = false;
+    const connectionNumber = this.connectionNumber;
+    const isCurrent = (): boolean => connectionNumber === this.connectionNumber && !this.isFinished;
     const connection = open({
       opened: () => {
         if (isCurrent()) {
-          this.opened = true;
-          this.watch(this.options.settings.stallTimeout);
+          this.accepted = true;
+          this.startIdleTimer(this.options.settings.stallTimeout);
         }
       },
       token: (generation, index, data) => {
@@ -176,7 +181,7 @@
       },
       ended: (generation, count) => {
         if (isCurrent()) {
-          this.onEnded(generation, count);
+          this.onCompleted(generation, count);
         }
       },
       failed: (reason, detail) => {
@@ -187,91 +192,91 @@
     });
     if (isCurrent()) {
       this.connection = connection;
-      this.watch(this.options.settings.openTimeout);
+      this.startIdleTimer(this.options.settings.openTimeout);
     }
   }
 
-  private watch(timeout: number): void {
+  private startIdleTimer(timeout: number): void {
     this.cancelTimer();
     if (!this.paused) {
       this.cancelTimer = this.options.timers.after(timeout, () => {
-        this.onSilence(timeout);
+        this.onIdleTimeout(timeout);
       });
     }
   }
 
-  private onToken(current: boolean, generation: string, index: number, data: string): void {
-    // Late or crossed tokens carry another generation, or an index that was relayed already. Passing one on
-    // would splice two answers; dropping it loses nothing, because the expected one is still to come.
-    if (!current || generation !== this.generation || index < this.nextIndex) {
+  private onToken(isCurrent: boolean, generation: string, index: number, data: string): void {
+    // Late or misrouted tokens carry another generation or an index that was already relayed. Forwarding one
+    // would mix two answers; the expected token is still to come, so discarding it loses nothing.
+    if (!isCurrent || generation !== this.generation || index < this.nextIndex) {
       this.options.host.dropped();
       return;
     }
     if (index > this.nextIndex) {
-      this.countedReconnect();
+      this.reconnectWithinLimit();
       return;
     }
     this.nextIndex += 1;
     this.resumesWithoutProgress = 0;
     this.lastProgressAt = this.now();
-    if (this.nextIndex % PROGRESS_EVERY === 1) {
+    if (this.nextIndex % PROGRESS_REPORT_INTERVAL === 1) {
       this.options.host.progressed(this.nextIndex);
     }
-    const more = this.options.caller.token(`${this.tokenPrefix}.${this.nextIndex}`, index, data);
-    if (!more) {
+    const canTakeMore = this.options.caller.token(`${this.tokenPrefix}.${this.nextIndex}`, index, data);
+    if (!canTakeMore) {
       this.pause();
     }
-    this.watch(this.options.settings.stallTimeout);
+    this.startIdleTimer(this.options.settings.stallTimeout);
   }
 
   private pause(): void {
-    // A slow caller holds the engine's connection back; reading on would pile its tokens up here.
+    // Applies back pressure to the engine; reading further would buffer tokens without limit.
     this.paused = true;
     this.cancelTimer();
     this.connection?.pause();
   }
 
   drained(): void {
-    if (this.paused && !this.over) {
+    if (this.paused && !this.isFinished) {
       this.paused = false;
-      this.watch(this.options.settings.stallTimeout);
+      this.startIdleTimer(this.options.settings.stallTimeout);
       this.connection?.resume();
     }
   }
 
-  private onEnded(generation: string, count: number): void {
+  private onCompleted(generation: string, count: number): void {
     if (generation !== this.generation) {
       this.options.host.dropped();
       return;
     }
     if (count !== this.nextIndex) {
-      this.countedReconnect();
+      this.reconnectWithinLimit();
       return;
     }
-    this.over = true;
+    this.isFinished = true;
     this.cancelTimer();
     this.options.host.left(this.target?.name ?? '', this.nextIndex, 'whole');
     this.options.caller.ended(count);
     this.options.host.finished();
   }
 
-  private onSilence(waited: number): void {
+  private onIdleTimeout(idleTime: number): void {
     const { host, settings } = this.options;
-    host.stalled(waited);
-    if (!this.opened && this.isFirstConnection()) {
-      // An engine that does not even accept is frozen or out of reach. There is nothing to resume, so asking
-      // it again would only make the caller wait; the request goes elsewhere at once.
-      this.leaveUpstream('stall');
+    host.stalled(idleTime);
+    if (!this.accepted && this.isFirstConnection()) {
+      // An engine that does not accept the request is frozen or unreachable. There is nothing to resume, so the
+      // request is placed on another engine without a retry.
+      this.abandonUpstream('stall');
       return;
     }
-    if (!this.opened) {
-      this.countedReconnect();
+    if (!this.accepted) {
+      this.reconnectWithinLimit();
       return;
     }
-    // An engine that answers but gives nothing is crowded, or this generation is stuck in it. It gets time,
-    // since a preempted generation goes on later, but not for ever.
+    // An engine that accepts connections but sends no tokens is overloaded, or the generation is stuck. A
+    // preempted generation continues later, so it is abandoned only after `silenceLimit`.
     if (this.now() - this.lastProgressAt >= settings.silenceLimit) {
-      this.leaveUpstream('stall');
+      this.abandonUpstream('stall');
       return;
     }
     this.reconnect();
@@ -284,108 +289,110 @@
         this.onConnectionLost(reason);
         break;
       case 'unknownGeneration':
-        this.leaveUpstream('failure');
+        this.abandonUpstream('failure');
         break;
       case 'refused':
-        this.leaveUpstream('refused');
+        this.abandonUpstream('refused');
         break;
       case 'invalid':
         this.options.host.left(this.target?.name ?? '', 0, 'invalid');
-        this.finish({
+        this.refuse({
           kind: 'invalid',
           status: 400,
-          message: `The engine does not accept the request: ${detail}`,
+          message: `The engine rejected the request: ${detail}`,
           remedy: 'Correct the request.',
         });
         break;
     }
   }
 
-  /** True while the generation has only its first connection and no token. */
+  /** True while the generation has had only one connection and no token. */
   private isFirstConnection(): boolean {
     return this.nextIndex === 0 && this.connectionsOfGeneration === 1;
   }
 
   private onConnectionLost(reason: types.ConnectionFailure): void {
     if (reason === 'neverSent' && this.isFirstConnection()) {
-      this.leaveUpstream('neverSent');
+      this.abandonUpstream('neverSent');
       return;
     }
     if (this.resumesWithoutProgress >= this.options.settings.resumeLimit) {
-      this.leaveUpstream('failure');
+      this.abandonUpstream('failure');
       return;
     }
-    // A cut link refuses at once; pausing between tries lets a short cut heal before the engine is given up.
+    // A partitioned link fails at once; the delay lets a short partition end before the attempts run out.
     this.cancelTimer();
     const pause = this.options.settings.resumePause * this.resumesWithoutProgress;
     this.cancelTimer = this.options.timers.after(pause, () => {
-      this.countedReconnect();
+      this.reconnectWithinLimit();
     });
   }
 
-  private countedReconnect(): void {
+  private reconnectWithinLimit(): void {
     this.resumesWithoutProgress += 1;
     if (this.resumesWithoutProgress > this.options.settings.resumeLimit) {
-      this.leaveUpstream('stall');
+      this.abandonUpstream('stall');
       return;
     }
     this.reconnect();
   }
 
   /**
-   * Resumes the same generation on a new connection from the next index. This heals a cut link and tells a
-   * frozen engine, which does not answer, from a crowded one, which answers and goes on later.
+   * Resumes the same generation on a new connection from the next index. This recovers from a broken link and
+   * distinguishes a frozen engine, which does not accept, from an overloaded one, which accepts and continues
+   * later.
    */
   private reconnect(): void {
     const { engines } = this.options;
     const { target, generation, nextIndex } = this;
     if (target !== undefined) {
-      this.openWith((listener) => engines.resume(target, generation, nextIndex, listener));
+      this.openConnection((listener) => engines.resume(target, generation, nextIndex, listener));
     }
   }
 
-  private leaveUpstream(reason: LeaveReason): void {
-    const { host, engines, settings, order, mayRestart } = this.options;
+  private abandonUpstream(reason: LeaveReason): void {
+    const { host, engines, settings, order: request, mayRestart } = this.options;
     const { target } = this;
     this.cancelTimer();
     this.connectionNumber += 1;
     this.connection?.close();
     this.connection = undefined;
     if (target !== undefined) {
-      this.exclude.add(target.name);
+      this.excludedUpstreams.add(target.name);
       engines.cancel(target, this.generation, false);
       host.left(target.name, this.nextIndex, reason);
     }
-    const voidable = this.nextIndex === 0 || mayRestart;
-    const again = order !== undefined && voidable && this.generationCount < settings.generationLimit;
-    if (again && host.mayRetry()) {
-      this.placeAgain();
+    const mayDiscardTokens = this.nextIndex === 0 || mayRestart;
+    const canRunAgain =
+      request !== undefined && mayDiscardTokens && this.generationCount < settings.generationLimit;
+    if (canRunAgain && host.mayRetry()) {
+      this.requestPlacement();
       return;
     }
-    this.finish({
+    this.refuse({
       kind: 'interrupted',
       status: 502,
-      message: `The engine was lost after ${this.nextIndex} tokens of this generation.`,
-      remedy: 'Send the request again; what was received so far belongs to no whole answer.',
-      retryAfter: RETRY_AFTER,
+      message: `The generation was interrupted after ${this.nextIndex} tokens.`,
+      remedy: 'Send the request again; the tokens received so far are not part of a complete answer.',
+      retryAfter: RETRY_AFTER_DELAY,
       entries: host.otherEntries(),
     });
   }
 
-  private finish(refusal: types.Refusal): void {
-    this.over = true;
+  private refuse(refusal: types.Refusal): void {
+    this.isFinished = true;
     this.cancelTimer();
     this.options.caller.refused(refusal);
     this.options.host.finished();
   }
 
   callerGone(): void {
-    if (this.over) {
+    if (this.isFinished) {
       return;
     }
     const { host, engines, timers, settings } = this.options;
     const { target, generation, nextIndex } = this;
-    this.over = true;
+    this.isFinished = true;
     this.cancelTimer();
     this.cancelPlacement();
     this.connection?.close();
@@ -394,7 +401,7 @@
       return;
     }
     timers.after(settings.resumeGrace, () => {
-      // The caller may read on at another entry by now; only a generation that nobody reads is waste.
+      // The caller may have resumed at another entry, so only an unread generation is cancelled.
       engines.cancel(target, generation, true);
       host.left(target.name, nextIndex, 'callerGone');
       host.finished();
--- a/packages/kumquatfront/src/streams/quarantineRefusals.ts
+++ b/packages/kumquatfront/src/streams/quarantineRefusals.ts
@@ -1,24 +1,24 @@
 /**
- * What callers of the product's own interface are told where upstreams end under their request. No time to come back is
- * named: whoever comes back with the same content is turned away again.
+ * Refusals of requests whose content is quarantined because upstreams crashed while running it. They have no
+ * `retryAfter`, since a retry with the same content is refused again.
  */
 import * as quarantine from '../quarantine/quarantine.js';
 import type * as types from './types.js';
 
-/** Client libraries send again after a 503 by themselves; after this status they do not. */
+/** Client libraries retry a 503 automatically, but not this status. */
 const STATUS = 422;
 
-const MESSAGE = `The request is not sent on: ${quarantine.QUARANTINED}.`;
+const MESSAGE = `The request was not forwarded: ${quarantine.QUARANTINED}.`;
 
-/** For a request that has run nowhere. */
+/** For a request that no upstream has run. */
 export const notRun: types.Refusal = {
   kind: 'notRun',
   status: STATUS,
   message: MESSAGE,
-  remedy: 'Change the request, or ask the operators what it does to their upstreams.',
+  remedy: 'Change the request, or ask the operators why its content is quarantined.',
 };
 
-/** For a generation under which an engine has been lost. */
+/** For a generation whose engine was lost. */
 export const interrupted: types.Refusal = { ...notRun, kind: 'interrupted', status: 502 };
 
 /** For a call that was sent and may have run. */
--- a/packages/kumquatfront/src/streams/resumeToken.ts
+++ b/packages/kumquatfront/src/streams/resumeToken.ts
@@ -1,13 +1,13 @@
 /**
- * Resume tokens: they carry all that another entry needs to go on with a stream, signed, so that the death
- * of an entry needs no shared state. The index is outside the signature: it only says from where to go on.
+ * Signed resume tokens. A token carries everything that another entry needs to resume a stream, so that no shared
+ * state is needed when an entry crashes. The index is not signed: it only states where to resume.
  */
 import * as crypto from 'node:crypto';
 
 import * as failures from '../kernel/failures.js';
 import * as results from '../kernel/results.js';
 
-/** What a resume token says. */
+/** Signed content of a resume token. */
 export interface ResumeClaims {
   readonly requestId: string;
   readonly account: string;
@@ -18,21 +18,21 @@
   readonly path: string;
 }
 
-const MAXIMUM_LENGTH = 1_024;
+const MAXIMUM_TOKEN_LENGTH = 1_024;
 
 function sign(payload: string, key: string): string {
   return crypto.createHmac('sha256', key).update(payload).digest('base64url');
 }
 
 /**
- * Signs the part of a resume token that stays the same for a whole generation.
+ * Signs the prefix of a resume token, which is the same for all tokens of a generation.
  *
- * @param claims - what it says
+ * @param claims - content to sign
  * @param key - the cluster's signing key
- * @returns the text; add `.` and the next index to make a token
+ * @returns the prefix; a resume token is the prefix, `.` and the next index
  * @example
  * ```ts
- * const token = `${resumeToken.issue(claims, key)}.${nextIndex}`;
+ * const token = `${resumeToken.issuePrefix(claims, key)}.${nextIndex}`;
  * ```
  */
 export function issue(claims: ResumeClaims, key: string): string {
@@ -40,26 +40,26 @@
   return `${payload}.${sign(payload, key)}`;
 }
 
-function isSame(left: string, right: string): boolean {
+function isEqualInConstantTime(left: string, right: string): boolean {
   const leftBytes = Buffer.from(left);
   const rightBytes = Buffer.from(right);
   return leftBytes.length === rightBytes.length && crypto.timingSafeEqual(leftBytes, rightBytes);
 }
 
-/** A token that was found sound. */
+/** Content of a token with a valid signature. */
 export interface VerifiedToken {
   readonly claims: ResumeClaims;
   readonly nextIndex: number;
 }
 
 /**
- * Verifies a token.
+ * Verifies the signature and the client account of a token.
  *
- * @param token - what the caller sent
+ * @param token - the token sent by the caller
  * @param account - the caller's client account
  * @param key - the cluster's signing key
- * @returns what it says, or an `unauthorized` failure; the same one for every reason, so that it tells
- * nothing to someone who guesses
+ * @returns the content, or an `unauthorized` failure that is the same for every reason, so that it reveals
+ * nothing about valid tokens
  * @example
  * ```ts
  * const verified = resumeToken.verify(lastEventId, account, key);
@@ -74,11 +74,12 @@
     failures.create(
       'unauthorized',
       'The resume token is not valid for this client account.',
-      'Send the last event id as it was received, or make the request again.',
+      'Send the last event id unchanged, or send the request again.',
     ),
   );
-  const [payload = '', signature = '', index = ''] = token.length > MAXIMUM_LENGTH ? [] : token.split('.');
-  if (!/^\d{1,9}$/.test(index) || !isSame(signature, sign(payload, key))) {
+  const [payload = '', signature = '', index = ''] =
+    token.length > MAXIMUM_TOKEN_LENGTH ? [] : token.split('.');
+  if (!/^\d{1,9}$/.test(index) || !isEqualInConstantTime(signature, sign(payload, key))) {
     return refusal;
   }
   const claims = JSON.parse(Buffer.from(payload, 'base64url').toString('utf8')) as ResumeClaims;
--- a/packages/kumquatfront/src/streams/serviceRelay.ts
+++ b/packages/kumquatfront/src/streams/serviceRelay.ts
@@ -1,6 +1,6 @@
 /**
- * Relays one call to a plain service. Idempotent calls may be tried again elsewhere; others run at most
- * once, under a claim that is committed before the call goes out.
+ * Relays one call to a service that answers without streaming. Idempotent calls may be retried on another
+ * upstream; others run at most once, under a claim that is committed before the call is sent.
  */
 import type * as agreedState from '../agreedState/types.js';
 import type * as claimClient from '../claims/claimClient.js';
@@ -11,10 +11,10 @@
 /** The claim of a call that is not idempotent. */
 export type CallClaim = Omit<agreedState.ClaimCommand, 'type'>;
 
-/** What a relay is made from. */
+/** Options of a service relay. */
 export interface ServiceRelayOptions {
   readonly call: types.ServiceCall;
-  /** Absent for an idempotent call. */
+  /** Undefined for an idempotent call. */
   readonly claim: CallClaim | undefined;
   readonly claims: claimClient.ClaimClient;
   readonly services: types.ServicePort;
@@ -24,17 +24,17 @@
   readonly host: Pick<generationRelay.RelayHost, 'place' | 'mayRetry' | 'left' | 'otherEntries' | 'finished'>;
 }
 
-const OUTCOME_KEPT_LENGTH = 16_384;
-const PENDING_RETRY_AFTER = 200;
+const MAXIMUM_OUTCOME_LENGTH = 16_384;
+const RETRY_AFTER_DELAY = 200;
 
-const LEAVE_REASONS = { neverSent: 'neverSent', broken: 'failure', timeout: 'stall' } as const;
+const RELEASE_REASONS = { neverSent: 'neverSent', broken: 'failure', timeout: 'stall' } as const;
 
-/** One call; see the module comment. */
+/** Relays one call; see the module comment. */
 export class ServiceRelay {
   private readonly options: ServiceRelayOptions;
-  private readonly exclude = new Set<string>();
-  /** Upstreams that may have run the call. */
-  private sends = 0;
+  private readonly excludedUpstreams = new Set<string>();
+  /** Number of upstreams that may have run the call. */
+  private possibleRuns = 0;
 
   constructor(options: ServiceRelayOptions) {
     this.options = options;
@@ -43,7 +43,7 @@
   start(): void {
     const { claim } = this.options;
     if (claim === undefined) {
-      this.placeAgain();
+      this.requestPlacement();
       return;
     }
     this.options.claims.claim({ type: 'claim', ...claim }, (result) => {
@@ -52,28 +52,31 @@
           kind: 'notRun',
           status: 503,
           message: 'The call was not run: its claim could not be recorded.',
-          remedy: 'Send it again with the same Idempotency-Key.',
-          retryAfter: PENDING_RETRY_AFTER,
+          remedy: 'Retry with the same Idempotency-Key.',
+          retryAfter: RETRY_AFTER_DELAY,
         });
         return;
       }
-      this.onClaim(result.val);
+      this.onClaimAnswer(result.val);
     });
   }
 
-  private onClaim(answer: agreedState.ClaimAnswer): void {
+  private onClaimAnswer(answer: agreedState.ClaimAnswer): void {
     switch (answer.state) {
       case 'granted':
-        this.placeAgain();
+        this.requestPlacement();
         break;
       case 'done':
-        this.onRecorded(answer.outcome);
+        this.onRecordedOutcome(answer.outcome);
         break;
       case 'pending':
-        this.refuseUnknown('The call is with another entry and has no outcome yet.', PENDING_RETRY_AFTER);
+        this.refuseUnknownOutcome(
+          'Another entry is handling the call; it has no outcome yet.',
+          RETRY_AFTER_DELAY,
+        );
         break;
       case 'unknown':
-        this.refuseUnknown('The call was sent once and nobody can know whether it ran.');
+        this.refuseUnknownOutcome('The call was sent once; it is unknown whether it ran.');
         break;
       case 'keyReused':
         this.refuse({
@@ -88,31 +91,31 @@
           kind: 'notRun',
           status: 429,
           message: 'This client account has too many recent keys; the call was not run.',
-          remedy: 'Come back after the given time.',
+          remedy: 'Retry after the given time.',
           retryAfter: answer.retryAfter,
         });
         break;
     }
   }
 
-  private onRecorded(outcome: agreedState.RecordedOutcome | null): void {
+  private onRecordedOutcome(outcome: agreedState.RecordedOutcome | null): void {
     if (outcome === null) {
-      this.refuseUnknown('The call ran; its answer was too large to be kept.');
+      this.refuseUnknownOutcome('The call ran, but its answer was too large to store.');
       return;
     }
     this.options.caller.answered(outcome, true);
     this.options.host.finished();
   }
 
-  private refuseUnknown(message: string, retryAfter?: number): void {
+  private refuseUnknownOutcome(message: string, retryAfter?: number): void {
     this.refuse({
       kind: 'outcomeUnknown',
       status: 409,
       message,
       remedy:
         retryAfter === undefined
-          ? 'Look up in the service whether it ran; it will not be run again under this key.'
-          : 'Ask again with the same Idempotency-Key after the given time.',
+          ? 'Check with the service whether it ran; it will not be run again under this key.'
+          : 'Retry with the same Idempotency-Key after the given time.',
       retryAfter,
     });
   }
@@ -123,8 +126,8 @@
     this.options.host.finished();
   }
 
-  private placeAgain(): void {
-    this.options.host.place(this.exclude, (placement) => {
+  private requestPlacement(): void {
+    this.options.host.place(this.excludedUpstreams, (placement) => {
       if (placement.type === 'granted') {
         const { name, address } = placement.upstream.announcement;
         this.dispatch({ name, address });
@@ -134,24 +137,24 @@
         this.refuseQuarantined();
         return;
       }
-      this.settle('notRun', null);
+      this.settleClaim('notRun', null);
       this.refuse({
         kind: 'notRun',
         status: 503,
-        message: 'No upstream can take the call; it was not run.',
-        remedy: 'Send it again after the given time.',
+        message: 'No upstream is available; the call was not run.',
+        remedy: 'Retry after the given time.',
         retryAfter: placement.refusal.retryAfter,
       });
     });
   }
 
   private refuseQuarantined(): void {
-    const mayHaveRun = this.sends > 0;
-    this.settle(mayHaveRun ? 'unknown' : 'notRun', null);
+    const mayHaveRun = this.possibleRuns > 0;
+    this.settleClaim(mayHaveRun ? 'unknown' : 'notRun', null);
     this.refuse(mayHaveRun ? quarantineRefusals.outcomeUnknown : quarantineRefusals.notRun);
   }
 
-  private settle(
+  private settleClaim(
     result: agreedState.SettleClaimCommand['result'],
     outcome: agreedState.RecordedOutcome | null,
   ): void {
@@ -164,18 +167,18 @@
 
   private dispatch(target: types.UpstreamTarget): void {
     const { services, call, timeout, host, caller } = this.options;
-    this.sends += 1;
+    this.possibleRuns += 1;
     services.call(target, call, timeout, {
       answered: (answer) => {
         host.left(target.name, 0, 'whole');
-        this.settle('done', answer.body.length <= OUTCOME_KEPT_LENGTH ? answer : null);
+        this.settleClaim('done', answer.body.length <= MAXIMUM_OUTCOME_LENGTH ? answer : null);
         caller.answered(answer, false);
         host.finished();
       },
       failed: (reason) => {
-        host.left(target.name, 0, LEAVE_REASONS[reason]);
-        this.exclude.add(target.name);
-        this.sends -= reason === 'neverSent' ? 1 : 0;
+        host.left(target.name, 0, RELEASE_REASONS[reason]);
+        this.excludedUpstreams.add(target.name);
+        this.possibleRuns -= reason === 'neverSent' ? 1 : 0;
         this.onFailed(reason);
       },
     });
@@ -183,27 +186,27 @@
 
   private onFailed(reason: 'neverSent' | 'broken' | 'timeout'): void {
     const { claim, host } = this.options;
-    const repeatable = claim === undefined || reason === 'neverSent';
-    if (repeatable && host.mayRetry()) {
-      this.placeAgain();
+    const isRepeatable = claim === undefined || reason === 'neverSent';
+    if (isRepeatable && host.mayRetry()) {
+      this.requestPlacement();
       return;
     }
     if (reason === 'neverSent') {
-      this.settle('notRun', null);
+      this.settleClaim('notRun', null);
       this.refuse({
         kind: 'notRun',
         status: 503,
         message: 'The upstream could not be reached; the call was not run.',
-        remedy: 'Send it again after the given time.',
-        retryAfter: PENDING_RETRY_AFTER,
+        remedy: 'Retry after the given time.',
+        retryAfter: RETRY_AFTER_DELAY,
       });
       return;
     }
-    // Bytes may have arrived. Sending them again could run the call twice, so the claim stays spent.
-    this.settle('unknown', null);
-    this.refuseUnknown(
-      'The upstream was lost after the call was sent.',
-      claim === undefined ? PENDING_RETRY_AFTER : undefined,
+    // The upstream may have received the call. A retry could run it twice, so the claim is settled as unknown.
+    this.settleClaim('unknown', null);
+    this.refuseUnknownOutcome(
+      'The upstream did not answer after the call was sent.',
+      claim === undefined ? RETRY_AFTER_DELAY : undefined,
     );
   }
 }
--- a/packages/kumquatfront/src/streams/types.ts
+++ b/packages/kumquatfront/src/streams/types.ts
@@ -1,41 +1,41 @@
 /**
- * Streams between an upstream and a caller. A generation is one run of a request on one engine; its tokens
- * are numbered from 0.
+ * Types of the relays between callers and upstreams. A generation is one run of a request on one engine; its
+ * tokens are numbered from 0.
  */
 import type * as relayTypes from '../relay/types.js';
 
-/** Where an upstream is. */
+/** Name and address of an upstream. */
 export interface UpstreamTarget {
   readonly name: string;
   readonly address: string;
 }
 
-/** What an engine is asked to generate. */
+/** A generation request as sent to an engine. */
 export interface GenerationOrder {
   readonly generation: string;
   /** Path of the OpenAI-style call, such as `/v1/completions`. */
   readonly path: string;
   /** JSON text of the body; `stream` is always true. */
   readonly body: string;
-  /** 0 goes before 1. */
+  /** 0 is served before 1. */
   readonly priority: number;
 }
 
 /**
- * Why a connection to an engine ended early. `neverSent`: no byte of the request can have arrived.
- * `broken`: the connection ended before the stream did. `unknownGeneration`: the engine does not know what
- * is to be resumed. `refused`: the engine answered that it does not take the request. `invalid`: the engine
- * found the request itself at fault.
+ * Why a connection to an engine ended before the generation was complete. `neverSent`: no byte of the request
+ * can have reached the engine. `broken`: the connection closed before the end of the stream.
+ * `unknownGeneration`: the engine does not have the generation to resume. `refused`: the engine declined to
+ * run the request. `invalid`: the engine rejected the request as malformed.
  */
 export type ConnectionFailure = 'neverSent' | 'broken' | 'unknownGeneration' | 'refused' | 'invalid';
 
-/** What an engine tells about one connection. */
+/** Receives the events of one connection to an engine. */
 export interface GenerationListener {
   /** The engine has accepted the request or the resumption. */
   opened(): void;
-  /** One token; `data` is the event's text, passed on as it is. */
+  /** One token; `data` is the text of the event, forwarded unchanged. */
   token(generation: string, index: number, data: string): void;
-  /** The generation is whole, with this many tokens. */
+  /** The generation is complete, with this many tokens. */
   ended(generation: string, count: number): void;
   failed(reason: ConnectionFailure, detail: string): void;
 }
@@ -44,113 +44,115 @@
 export interface GenerationConnection {
   pause(): void;
   resume(): void;
-  /** Closes the connection; the engine keeps the generation for a while. */
+  /** Closes the connection; the engine retains the generation for a limited time. */
   close(): void;
 }
 
-/** Engines as a relay sees them. */
+/** Starts, resumes and cancels generations on engines. */
 export interface GenerationPort {
-  start(target: UpstreamTarget, order: GenerationOrder, listener: GenerationListener): GenerationConnection;
+  start(target: UpstreamTarget, request: GenerationOrder, listener: GenerationListener): GenerationConnection;
   resume(
     target: UpstreamTarget,
     generation: string,
     fromIndex: number,
     listener: GenerationListener,
   ): GenerationConnection;
-  /** Cancels a generation; with `ifUnread` only where nobody reads it any more. */
+  /** Cancels a generation; with `ifUnread` only if no connection is reading it. */
   cancel(target: UpstreamTarget, generation: string, ifUnread: boolean): void;
 }
 
 /**
- * What a caller is told when its request did not end well. `notRun`: it was certainly not run.
- * `outcomeUnknown`: nobody can know whether it ran. `interrupted`: it ran and broke off.
+ * Outcome reported to a caller whose request failed. `notRun`: the request was certainly not run.
+ * `outcomeUnknown`: it cannot be determined whether it ran. `interrupted`: it ran but did not complete.
+ * `invalid`: the request itself is at fault.
  */
 export type RefusalKind = 'notRun' | 'outcomeUnknown' | 'interrupted' | 'invalid';
 
-/** A refusal; given at once, with when and where to come back. */
+/** Why a request failed, with when and where to retry. */
 export interface Refusal {
   readonly kind: RefusalKind;
   readonly status: number;
   readonly message: string;
   readonly remedy: string;
-  /** Milliseconds after which it is worth coming back; absent where repeating does not help. */
+  /** Milliseconds after which to retry; absent if a retry cannot succeed. */
   readonly retryAfter?: number;
-  /** Addresses of other entries to go to. */
+  /** Addresses of other entries to retry at. */
   readonly entries?: readonly string[];
 }
 
-/** The caller's side of a stream. */
+/** Sends the events of a stream to its caller. */
 export interface GenerationCaller {
-  /** The request has a generation; `resumeToken` lets the caller go on at any entry. */
+  /** The request has a generation; with `resumeToken` the caller can resume it at any entry. */
   accepted(resumeToken: string): void;
-  /** One token; false asks to pause until `drained` is called. */
+  /** Sends one token; false requests a pause until `StreamHandle.onDrain` is called. */
   token(resumeToken: string, index: number, data: string): boolean;
-  /** All tokens so far are void; a new generation begins at index 0. */
+  /** Discards all tokens sent so far; a new generation begins at index 0. */
   restarted(resumeToken: string): void;
   ended(count: number): void;
   refused(refusal: Refusal): void;
 }
 
-/** A stream in flight, as its caller's connection handles it. */
+/** Through which the caller's connection controls a running stream. */
 export interface StreamHandle {
-  /** The caller can take more. */
+  /** The caller's connection accepts more tokens. */
   drained(): void;
-  /** The caller's connection is gone; it may resume elsewhere for a while. */
+  /** The caller's connection closed; the caller may resume at another entry within `resumeGrace`. */
   callerGone(): void;
 }
 
-/** Timing of relays, in milliseconds. */
+/** Timeouts and retry limits of relays; times are milliseconds. */
 export interface RelaySettings {
-  /** Silence after which the engine is asked again on a new connection. */
+  /** Idle time after which the relay resumes on a new connection. */
   readonly stallTimeout: number;
   /** Time an engine has to accept a request or a resumption. */
   readonly openTimeout: number;
-  /** Time a generation is kept for a caller that went away. */
+  /** Time a generation is retained after its caller disconnected. */
   readonly resumeGrace: number;
-  /** Silence after which a generation is given up though its engine answers. */
+  /** Time without a token after which a generation is abandoned although its engine accepts connections. */
   readonly silenceLimit: number;
-  /** Pause before a resumption, times the number of tries. */
+  /** Delay before a resumption, multiplied by the number of attempts without progress. */
   readonly resumePause: number;
-  /** Resumptions without a new token after which an engine counts as dead. */
+  /** Resumptions without a new token after which an engine counts as failed. */
   readonly resumeLimit: number;
-  /** Generations of one request at most. */
+  /** Maximum number of generations of one request. */
   readonly generationLimit: number;
 }
 
-/** Tries whether anything listens at an upstream's address; sends nothing. */
+/** Checks whether an upstream's address accepts connections; sends no data. */
 export type CheckUpstream = (address: string, done: (sign: relayTypes.ConnectionSign) => void) => void;
 
-/** A call to a plain service. */
+/** A call to a service that answers without streaming. */
 export interface ServiceCall {
   readonly method: string;
   readonly path: string;
   readonly contentType: string;
   readonly body: string;
-  /** Passed on to the service, so that it can find doubles itself. */
+  /** Forwarded to the service, so that it can detect duplicates itself. */
   readonly idempotencyKey: string;
 }
 
-/** The answer of a plain service. */
+/** The answer of a service. */
 export interface ServiceAnswer {
   readonly status: number;
   readonly contentType: string;
   readonly body: string;
 }
 
-/** What comes of a call; exactly one of the two is called. */
+/** Receives the result of a call; exactly one of the two methods is called. */
 export interface ServiceListener {
   answered(answer: ServiceAnswer): void;
-  /** `neverSent` only where no byte of the call can have arrived. */
+  /** `neverSent` only if no byte of the call can have reached the service. */
   failed(reason: 'neverSent' | 'broken' | 'timeout'): void;
 }
 
-/** Plain services as a relay sees them. It never repeats a call by itself. */
+/** Sends calls to services. Implementations never retry a call. */
 export interface ServicePort {
   call(target: UpstreamTarget, call: ServiceCall, timeout: number, listener: ServiceListener): void;
 }
 
-/** The caller's side of a call to a plain service. */
+/** Sends the result of a service call to its caller. */
 export interface ServiceCaller {
-  answered(answer: ServiceAnswer, repeated: boolean): void;
+  /** `isReplay` marks a recorded answer of an earlier call with the same Idempotency-Key. */
+  answered(answer: ServiceAnswer, isReplay: boolean): void;
   refused(refusal: Refusal): void;
 }
--- a/packages/kumquatfront/src/streams/wholeAnswer.ts
+++ b/packages/kumquatfront/src/streams/wholeAnswer.ts
@@ -1,8 +1,8 @@
 /**
- * Gathers the chunks of a stream into one OpenAI-style answer, for callers that do not stream.
+ * Aggregates the chunks of a stream into one OpenAI-style answer, for callers that do not stream.
  */
 
-interface Chunk {
+interface CompletionChunk {
   readonly id?: string;
   readonly model?: string;
   readonly created?: number;
@@ -13,43 +13,43 @@
   }[];
 }
 
-/** Gathers one answer. */
+/** Aggregates the chunks of one answer. */
 export class WholeAnswer {
-  private readonly chat: boolean;
-  private readonly pieces: string[] = [];
-  private last: Chunk = {};
+  private readonly isChat: boolean;
+  private readonly fragments: string[] = [];
+  private lastChunk: CompletionChunk = {};
 
   /**
-   * @param path - path of the request, which decides the form of the answer
+   * @param path - path of the request, which determines the format of the answer
    */
   constructor(path: string) {
-    this.chat = path.endsWith('/chat/completions');
+    this.isChat = path.endsWith('/chat/completions');
   }
 
   add(data: string): void {
-    const chunk = JSON.parse(data) as Chunk;
+    const chunk = JSON.parse(data) as CompletionChunk;
     const choice = chunk.choices?.[0];
-    this.pieces.push((this.chat ? choice?.delta?.content : choice?.text) ?? '');
-    this.last = chunk;
+    this.fragments.push((this.isChat ? choice?.delta?.content : choice?.text) ?? '');
+    this.lastChunk = chunk;
   }
 
-  /** Drops everything: a new generation begins. */
+  /** Discards all chunks, because a new generation begins. */
   restart(): void {
-    this.pieces.length = 0;
+    this.fragments.length = 0;
   }
 
-  /** The answer as JSON text, with `count` tokens of output. */
+  /** Returns the answer as JSON text; `count` is the number of generated tokens. */
   finish(count: number): string {
-    const text = this.pieces.join('');
-    const finishReason = this.last.choices?.[0]?.finish_reason ?? 'stop';
-    const choice = this.chat
+    const text = this.fragments.join('');
+    const finishReason = this.lastChunk.choices?.[0]?.finish_reason ?? 'stop';
+    const choice = this.isChat
       ? { index: 0, message: { role: 'assistant', content: text }, finish_reason: finishReason }
       : { index: 0, text, finish_reason: finishReason, logprobs: null };
     return JSON.stringify({
-      id: this.last.id ?? '',
-      object: this.chat ? 'chat.completion' : 'text_completion',
-      created: this.last.created ?? 0,
-      model: this.last.model ?? '',
+      id: this.lastChunk.id ?? '',
+      object: this.isChat ? 'chat.completion' : 'text_completion',
+      created: this.lastChunk.created ?? 0,
+      model: this.lastChunk.model ?? '',
       choices: [choice],
       usage: { completion_tokens: count },
     });
--- a/packages/scenarios/src/scripts/controlSafeguards.ts
+++ b/packages/scenarios/src/scripts/controlSafeguards.ts
@@ -33,7 +33,7 @@
   {
     name: 'an attempt may ask again when its answer was lost',
     file: 'controlClient/controlClient.js',
-    find: 'if (result.ok || !isWorthRetrying(result.val)) {',
+    find: 'if (result.ok || !isRetryable(result.val)) {',
     replace: 'if (true) {',
     scenario: 'claim-leader-killed',
   },
@@ -103,8 +103,8 @@
   {
     name: 'an empty replica founds nothing while others are silent',
     file: 'controlNode/membership.js',
-    find: 'if (mayFound && answers.length === asked && first',
-    replace: 'if (first',
+    find: 'if (mayBootstrap && answers.length === expected && isFirst',
+    replace: 'if (isFirst',
     scenario: 'control-empty-folder-never-founds',
   },
   {
--- a/packages/scenarios/src/scripts/dataCentreSafeguards.ts
+++ b/packages/scenarios/src/scripts/dataCentreSafeguards.ts
@@ -99,15 +99,15 @@
   {
     name: 'a voter too many in one data centre steps back',
     file: 'controlNode/voterSpread.js',
-    find: 'if (toleratesAnyLoss(members) || voters.length <= wanted) {',
+    find: 'if (toleratesAnyDataCentreLoss(members) || voters.length <= requiredVoters) {',
     replace: 'if (true) {',
     scenario: 'spec:trafficControl/dataCentreLoss',
   },
   {
     name: 'a replica that would spoil the spread of voters stays a learner',
     file: 'controlNode/voterSpread.js',
-    find: 'return isShort || isHarmless ? best : undefined;',
-    replace: 'return best;',
+    find: 'return lacksVoters || isHarmless ? candidate : undefined;',
+    replace: 'return candidate;',
     scenario: 'spec:trafficControl/dataCentreLoss',
   },
   {
--- a/packages/scenarios/src/scripts/relaySafeguards.ts
+++ b/packages/scenarios/src/scripts/relaySafeguards.ts
@@ -198,7 +198,7 @@
   {
     name: 'a voter that is gone for good makes way',
     file: 'controlNode/membership.js',
-    find: 'this.removeSilent(members);',
+    find: 'this.removeUnresponsiveMember(members);',
     replace: '',
     scenario: CONTROL,
   },
