--- a/packages/kumquatfront/src/controlNode/membership.ts
+++ b/packages/kumquatfront/src/controlNode/membership.ts
@@ -251,9 +251,9 @@
   }
 
   /**
-   * Performs one membership change towards the required set of voters. A learner that has caught up first
-   * replaces the lost identity of its VM, which would only raise the quorum, and then becomes a voter. Members
-   * change one at a time, so that the majorities before and after each change overlap.
+   * Performs one membership change towards the required set of voters. Once a learner has caught up, the lost
+   * identity of its VM is removed first, since it can never vote again and only raises the quorum; then the learner
+   * becomes a voter. Members change one at a time, so that the majorities before and after each change overlap.
    */
   private repair(): void {
     const { replica: own, identity } = this.options;
