--- a/packages/kumquatfront/src/directory/directory.ts
+++ b/packages/kumquatfront/src/directory/directory.ts
@@ -1,7 +1,7 @@
 /**
- * The directory: what this entry knows of upstreams and of other entries, and how entries tell each other.
- * Each round an entry offers its state vector to a few random peers, and both sides send what the other
- * lacks. An upstream that leaves is pushed to every peer at once.
+ * The directory of upstreams and entries, replicated between entries by gossip. In each round an entry offers its state
+ * vector to a few random peers, and both sides send what the other lacks. The announcement of a draining upstream is
+ * pushed to every peer at once.
  */
 import type * as ports from '../kernel/ports.js';
 import * as results from '../kernel/results.js';
@@ -12,22 +12,22 @@
 import type * as types from './types.js';
 import * as upstreamTable from './upstreamTable.js';
 
-/** Timing and spread of the directory; times in milliseconds. */
+/** Gossip settings; times in milliseconds. */
 export interface DirectorySettings {
   readonly round: number;
-  /** Peers that are offered the vector each round. */
+  /** Number of peers that receive the state vector in each round. */
   readonly fanout: number;
-  /** Time an item is kept after it was published. */
+  /** Time for which an item is kept after it was published. */
   readonly keepFor: number;
-  /** Time without news after which another entry counts as gone. */
+  /** Time without an update after which another entry is removed. */
   readonly presenceLease: number;
 }
 
-/** What the directory is made from. */
+/** Settings and dependencies of the directory. */
 export interface DirectoryOptions {
   readonly name: string;
   readonly peerAddress: string;
-  /** Grows with every restart of this entry. */
+  /** Increases with every restart of this entry. */
   readonly incarnation: number;
   readonly seeds: readonly string[];
   readonly settings: DirectorySettings;
@@ -38,65 +38,65 @@
   readonly presence: () => types.EntryPresence;
 }
 
-/** A message of one round: who offers, and what it knows. */
-export interface Offer {
+/** A gossip message with the address and the state vector of its sender. */
+export interface GossipOffer {
   readonly from: string;
   readonly vector: types.StateVector;
-  /** False in the answer to an offer, so that two peers do not offer for ever. */
+  /** False in the answer to an offer, so that two peers do not answer each other endlessly. */
   readonly first: boolean;
 }
 
 interface PeerRecord {
   readonly presence: types.EntryPresence;
-  readonly heardAt: number;
+  readonly lastSeenAt: number;
 }
 
-/** The directory of one entry; see the module comment. */
+/** Directory of one entry; see the module comment. */
 export class Directory {
   readonly table = new upstreamTable.UpstreamTable();
   private readonly options: DirectoryOptions;
   private readonly store: publicationStore.PublicationStore;
   private readonly peersByName = new Map<string, PeerRecord>();
-  private readonly publishedWhole = new Map<string, { readonly content: string; readonly at: number }>();
-  private readonly everHeard = new Set<string>();
-  private presenceText = '';
-  private presenceAt = Number.NEGATIVE_INFINITY;
-  private readonly listeners: (() => void)[] = [];
-  private readonly goneListeners: ((name: string) => void)[] = [];
-  private readonly caseListeners: ((record: quarantineTypes.CaseRecord) => void)[] = [];
+  private readonly fullAnnouncements = new Map<string, { readonly content: string; readonly at: number }>();
+  private readonly knownPeerAddresses = new Set<string>();
+  private publishedPresence = '';
+  private presencePublishedAt = Number.NEGATIVE_INFINITY;
+  private readonly updateListeners: (() => void)[] = [];
+  private readonly expiryListeners: ((name: string) => void)[] = [];
+  private readonly crashRecordListeners: ((record: quarantineTypes.CaseRecord) => void)[] = [];
 
   constructor(options: DirectoryOptions) {
     this.options = options;
     this.store = new publicationStore.PublicationStore(options.settings.keepFor);
-    this.serve();
+    this.registerHandlers();
     const { timers, settings, random } = options;
     timers.every(
       () => settings.round * (0.75 + random.next() / 2),
       () => {
-        this.runRound();
+        this.runGossipRound();
       },
     );
-    // Asking at once after a restart makes the list of upstreams whole within one exchange.
+    // An immediate round after a restart completes the list of upstreams within one exchange.
     timers.after(0, () => {
-      this.runRound();
+      this.runGossipRound();
     });
   }
 
-  private serve(): void {
+  private registerHandlers(): void {
     const { peers } = this.options;
     peers.serve('directory.offer', (parameters, reply) => {
-      this.onOffer(parameters as Offer);
+      this.onOffer(parameters as GossipOffer);
       reply(ACKNOWLEDGED);
     });
     peers.serve('directory.extracts', (parameters, reply) => {
-      for (const extract of parameters as readonly publicationStore.Extract[]) {
-        this.absorb(this.store.acceptExtract(extract, this.now()));
+      for (const delta of parameters as readonly publicationStore.PublisherDelta[]) {
+        this.applyItems(this.store.acceptDelta(delta, this.now()));
       }
       reply(ACKNOWLEDGED);
     });
     peers.serve('directory.push', (parameters, reply) => {
       const items = parameters as readonly types.PublishedItem[];
-      this.absorb(items.filter((item) => this.store.accept(item, this.now())));
+      this.applyItems(items.filter((item) => this.store.accept(item, this.now())));
       reply(ACKNOWLEDGED);
     });
   }
@@ -105,65 +105,65 @@
     return this.options.timers.now();
   }
 
-  /** Calls back after any news of upstreams. */
+  /** Registers a listener for updates of upstreams and entries. */
   onNews(listener: () => void): void {
-    this.listeners.push(listener);
+    this.updateListeners.push(listener);
   }
 
-  /** Calls back with the name of an upstream whose lease has ended. */
+  /** Registers a listener for the names of upstreams whose lease has expired. */
   onGone(listener: (name: string) => void): void {
-    this.goneListeners.push(listener);
+    this.expiryListeners.push(listener);
   }
 
-  /** Calls back with what other entries hold against contents. */
+  /** Registers a listener for crash records from other entries. */
   onCase(listener: (record: quarantineTypes.CaseRecord) => void): void {
-    this.caseListeners.push(listener);
+    this.crashRecordListeners.push(listener);
   }
 
-  /** Tells every entry at once what is held against a content. */
+  /** Publishes a crash record and pushes it to every entry at once. */
   publishCase(record: quarantineTypes.CaseRecord): void {
     const { name, incarnation } = this.options;
     const value: types.PublishedValue = { type: 'case', record };
     this.push([this.store.publish(name, incarnation, keyOf(value), value, this.now())]);
   }
 
-  /** Takes news that an upstream posted to this entry. */
-  takeNews(news: types.UpstreamNews): boolean {
-    const fresh = this.apply(news, 0);
-    if (fresh) {
-      this.publish(news);
+  /** Applies an update that an upstream posted to this entry; returns true if it was new. */
+  takeNews(update: types.UpstreamNews): boolean {
+    const isNew = this.applyValue(update, 0);
+    if (isNew) {
+      this.publish(update);
     }
-    return fresh;
+    return isNew;
   }
 
-  private publish(news: types.UpstreamNews): void {
+  private publish(update: types.UpstreamNews): void {
     const { name, incarnation } = this.options;
-    const value = this.shortened(news);
+    const value = this.renewalOrFull(update);
     const item = this.store.publish(name, incarnation, keyOf(value), value, this.now());
-    const leaves = news.type === 'announce' && news.announcement.leaving;
-    if (leaves) {
+    const isDraining = update.type === 'announce' && update.announcement.leaving;
+    if (isDraining) {
       this.push([item]);
     }
     this.notifyListeners();
   }
 
   /**
-   * An announcement that repeats the last one travels as a renewal, a quarter of its size; the whole one is
-   * published again before the former leaves the stores of others.
+   * Replaces an unchanged announcement by a renewal, which is smaller. The full announcement is published again before
+   * other entries discard the previous one.
    */
-  private shortened(news: types.UpstreamNews): types.PublishedValue {
-    if (news.type !== 'announce') {
-      return news;
+  private renewalOrFull(update: types.UpstreamNews): types.PublishedValue {
+    if (update.type !== 'announce') {
+      return update;
     }
-    const { announcement } = news;
+    const { announcement } = update;
     const { name, incarnation, sequence } = announcement;
     const content = JSON.stringify({ ...announcement, sequence: 0 });
-    const last = this.publishedWhole.get(name);
+    const last = this.fullAnnouncements.get(name);
     if (last?.content === content && this.now() - last.at < this.options.settings.keepFor / 2) {
       return { type: 'renewal', renewal: { name, incarnation, sequence } };
     }
-    this.publishedWhole.set(name, { content, at: this.now() });
-    return news;
+    this.fullAnnouncements.set(name, { content, at: this.now() });
+    return update;
   }
 
   private push(items: readonly types.PublishedItem[]): void {
@@ -172,33 +172,33 @@
     }
   }
 
-  private apply(value: types.PublishedValue, age: number): boolean {
+  private applyValue(value: types.PublishedValue, age: number): boolean {
     switch (value.type) {
       case 'announce':
         return this.table.announce(value.announcement, age, this.now());
       case 'renewal':
-        return this.table.renew(value.renewal, age, this.now());
+        return this.table.applyRenewal(value.renewal, age, this.now());
       case 'load':
         return this.table.report(value.report, age, this.now());
       case 'cache':
-        return this.table.cacheEvent(value.event);
+        return this.table.applyCacheEvent(value.event);
       case 'presence':
-        this.remember(value.presence.peerAddress);
-        this.peersByName.set(value.presence.name, { presence: value.presence, heardAt: this.now() - age });
+        this.rememberPeerAddress(value.presence.peerAddress);
+        this.peersByName.set(value.presence.name, { presence: value.presence, lastSeenAt: this.now() - age });
         return true;
       case 'case':
-        for (const listener of this.caseListeners) {
+        for (const listener of this.crashRecordListeners) {
           listener(caseAge.after(value.record, age));
         }
         return true;
     }
   }
 
-  private absorb(items: readonly types.PublishedItem[]): void {
-    // Announcements first: a load report of an upstream that is not known yet would be lost.
-    const ordered = [...items].sort((left, right) => rankOf(left) - rankOf(right));
+  private applyItems(items: readonly types.PublishedItem[]): void {
+    // Announcements first: a load report of an unknown upstream is ignored.
+    const ordered = [...items].sort((left, right) => applyOrderOf(left) - applyOrderOf(right));
     for (const item of ordered) {
-      this.apply(item.value, item.age);
+      this.applyValue(item.value, item.age);
     }
     if (items.length > 0) {
       this.notifyListeners();
@@ -206,38 +206,38 @@
   }
 
   private notifyListeners(): void {
-    for (const listener of this.listeners) {
+    for (const listener of this.updateListeners) {
       listener();
     }
   }
 
-  private runRound(): void {
+  private runGossipRound(): void {
     const { settings, peers, peerAddress } = this.options;
     this.publishPresence();
     this.expire();
-    const offer: Offer = { from: peerAddress, vector: this.store.vector(), first: true };
+    const offer: GossipOffer = { from: peerAddress, vector: this.store.stateVector(), first: true };
     for (const address of this.pickPeers(settings.fanout)) {
       peers.notify(address, 'directory.offer', offer);
     }
   }
 
-  /** Publishes the presence when its state changed, and often enough to keep its lease. */
+  /** Publishes the presence of this entry when it has changed, and in time to renew its lease. */
   private publishPresence(): void {
     const { name, incarnation, settings } = this.options;
     const presence = this.options.presence();
     const text = `${presence.state}/${presence.configurationVersion}`;
     if (
-      text === this.presenceText &&
-      this.now() - this.presenceAt < settings.presenceLease / PRESENCES_IN_LEASE
+      text === this.publishedPresence &&
+      this.now() - this.presencePublishedAt < settings.presenceLease / PRESENCES_PER_LEASE
     ) {
       return;
     }
-    this.presenceText = text;
-    this.presenceAt = this.now();
+    this.publishedPresence = text;
+    this.presencePublishedAt = this.now();
     this.store.publish(name, incarnation, 'presence', { type: 'presence', presence }, this.now());
   }
 
-  /** Tells every peer this entry's presence at once; for a change of state such as draining. */
+  /** Pushes the presence of this entry to every peer at once, for a change of state such as draining. */
   announcePresence(): void {
     const { name, incarnation, presence } = this.options;
     const value: types.PublishedValue = { type: 'presence', presence: presence() };
@@ -248,34 +248,35 @@
     const now = this.now();
     this.store.expire(now);
     for (const name of this.table.expire(now)) {
-      this.publishedWhole.delete(name);
+      this.fullAnnouncements.delete(name);
       this.options.log.info('upstreamGone', { upstream: name });
-      for (const listener of this.goneListeners) {
+      for (const listener of this.expiryListeners) {
         listener(name);
       }
     }
     for (const [name, peer] of this.peersByName) {
-      if (now - peer.heardAt > this.options.settings.presenceLease) {
+      if (now - peer.lastSeenAt > this.options.settings.presenceLease) {
         this.peersByName.delete(name);
       }
     }
   }
 
-  private onOffer(offer: Offer): void {
+  private onOffer(offer: GossipOffer): void {
     const { peers, peerAddress } = this.options;
-    const extracts = this.store.missingFrom(offer.vector, this.now());
-    if (extracts.length > 0) {
-      peers.notify(offer.from, 'directory.extracts', extracts);
+    const deltas = this.store.deltasSince(offer.vector, this.now());
+    if (deltas.length > 0) {
+      peers.notify(offer.from, 'directory.extracts', deltas);
     }
     if (offer.first && this.store.isBehind(offer.vector)) {
-      const answer: Offer = { from: peerAddress, vector: this.store.vector(), first: false };
+      const answer: GossipOffer = { from: peerAddress, vector: this.store.stateVector(), first: false };
       peers.notify(offer.from, 'directory.offer', answer);
     }
   }
 
   private pickPeers(count: number): readonly string[] {
-    const remembered = this.options.random.next() < REMEMBERED_SHARE ? this.silentAddresses() : [];
-    const pool = remembered.length > 0 ? remembered : [...this.peerAddresses()];
+    const unresponsive =
+      this.options.random.next() < UNRESPONSIVE_PEER_SHARE ? this.unresponsivePeerAddresses() : [];
+    const pool = unresponsive.length > 0 ? unresponsive : [...this.peerAddresses()];
     const picked: string[] = [];
     while (picked.length < count && pool.length > 0) {
       const position = Math.floor(this.options.random.next() * pool.length);
@@ -285,19 +286,19 @@
   }
 
   /**
-   * Addresses of entries that have fallen silent. After a cut of a data centre or a region both sides have
-   * forgotten each other's presence; without a try now and then they would meet again only through a seed.
+   * Returns the addresses of entries whose presence has expired. After a network partition both sides have removed each
+   * other; without occasional attempts they would reconnect only through a seed.
    */
-  private silentAddresses(): string[] {
+  private unresponsivePeerAddresses(): string[] {
     const live = this.peerAddresses();
-    return [...this.everHeard].filter((address) => !live.has(address));
+    return [...this.knownPeerAddresses].filter((address) => !live.has(address));
   }
 
-  private remember(address: string): void {
-    this.everHeard.delete(address);
-    this.everHeard.add(address);
-    if (this.everHeard.size > ADDRESSES_REMEMBERED) {
-      this.everHeard.delete(this.everHeard.values().next().value ?? '');
+  private rememberPeerAddress(address: string): void {
+    this.knownPeerAddresses.delete(address);
+    this.knownPeerAddresses.add(address);
+    if (this.knownPeerAddresses.size > MAXIMUM_PEER_ADDRESSES) {
+      this.knownPeerAddresses.delete(this.knownPeerAddresses.values().next().value ?? '');
     }
   }
 
@@ -308,7 +309,7 @@
     return addresses;
   }
 
-  /** Entries that were heard from within their lease, this one included. */
+  /** Returns the entries whose presence has not expired, including this one. */
   entries(): readonly types.EntryPresence[] {
     const others = [...this.peersByName.values()]
       .map((peer) => peer.presence)
@@ -319,31 +320,31 @@
 
 const ACKNOWLEDGED = results.Ok(null);
 
-function keyOf(news: types.PublishedValue): string {
-  switch (news.type) {
+function keyOf(published: types.PublishedValue): string {
+  switch (published.type) {
     case 'presence':
       return 'presence';
     case 'case':
-      return `case/${news.record.content}`;
+      return `case/${published.record.content}`;
     case 'renewal':
-      return `renewal/${news.renewal.name}`;
+      return `renewal/${published.renewal.name}`;
     case 'announce':
-      return `announce/${news.announcement.name}`;
+      return `announce/${published.announcement.name}`;
     case 'load':
-      return `load/${news.report.name}`;
+      return `load/${published.report.name}`;
     case 'cache':
-      return `cache/${news.event.name}/${news.event.sequence % CACHE_EVENTS_KEPT}`;
+      return `cache/${published.event.name}/${published.event.sequence % MAXIMUM_CACHE_EVENTS}`;
   }
 }
 
-const CACHE_EVENTS_KEPT = 16;
-/** Share of the rounds in which a silent entry is tried, if there is one. */
-const REMEMBERED_SHARE = 0.25;
-const ADDRESSES_REMEMBERED = 1_000;
+const MAXIMUM_CACHE_EVENTS = 16;
+/** Share of the rounds that contact unresponsive entries, if there are any. */
+const UNRESPONSIVE_PEER_SHARE = 0.25;
+const MAXIMUM_PEER_ADDRESSES = 1_000;
 
-/** Publications of an unchanged presence within its lease, so that one may be lost. */
-const PRESENCES_IN_LEASE = 3;
+/** Publications of an unchanged presence per lease, so that a lost one does not expire it. */
+const PRESENCES_PER_LEASE = 3;
 
-function rankOf(item: types.PublishedItem): number {
+function applyOrderOf(item: types.PublishedItem): number {
   return item.value.type === 'announce' ? 0 : item.sequence;
 }
--- a/packages/kumquatfront/src/directory/newsParser.ts
+++ b/packages/kumquatfront/src/directory/newsParser.ts
@@ -1,5 +1,5 @@
 /**
- * Parses what upstreams post: announcements, load reports and cache events.
+ * Parses the updates that upstreams post: announcements, load reports and cache events.
  */
 import * as ajv from 'ajv';
 
@@ -10,18 +10,18 @@
 
 const text = { type: 'string', minLength: 1, maxLength: 128 };
 const count = { type: 'number', minimum: 0, maximum: 1e15 };
-const stamp = { name: text, incarnation: count, sequence: count };
+const versionFields = { name: text, incarnation: count, sequence: count };
 const prefixes = { type: 'array', maxItems: 4_096, items: { type: 'string', maxLength: 64 } };
 
-function object(properties: Readonly<Record<string, unknown>>): Record<string, unknown> {
+function strictObject(properties: Readonly<Record<string, unknown>>): Record<string, unknown> {
   return { type: 'object', additionalProperties: false, required: Object.keys(properties), properties };
 }
 
 const SCHEMAS: Readonly<Record<types.UpstreamNews['type'], ajv.AnySchema>> = {
-  announce: object({
+  announce: strictObject({
     type: { const: 'announce' },
-    announcement: object({
-      ...stamp,
+    announcement: strictObject({
+      ...versionFields,
       address: { type: 'string', pattern: '^http://[0-9a-fA-F.:\\[\\]]+$', maxLength: 128 },
       kind: { enum: ['engine', 'plainService'] },
       labels: { type: 'object', additionalProperties: { type: 'string', maxLength: 128 }, maxProperties: 32 },
@@ -32,13 +32,13 @@
       leaving: { type: 'boolean' },
     }),
   }),
-  load: object({
+  load: strictObject({
     type: { const: 'load' },
-    report: object({ ...stamp, running: count, waiting: count, usedTokens: count }),
+    report: strictObject({ ...versionFields, running: count, waiting: count, usedTokens: count }),
   }),
-  cache: object({
+  cache: strictObject({
     type: { const: 'cache' },
-    event: object({ ...stamp, added: prefixes, removed: prefixes }),
+    event: strictObject({ ...versionFields, added: prefixes, removed: prefixes }),
   }),
 };
 
@@ -54,13 +54,13 @@
 }
 
 /**
- * Parses one piece of news.
+ * Parses one update.
  *
  * @param body - JSON text from an upstream
- * @returns the news, or a `badInput` failure that names the key at fault
+ * @returns the update, or a `badInput` failure that names the invalid key
  * @example
  * ```ts
- * const news = newsParser.parse(body);
+ * const update = upstreamUpdateParser.parse(body);
  * ```
  */
 export function parse(body: string): results.Result<types.UpstreamNews, failures.Failure> {
@@ -69,10 +69,10 @@
   const validate = compiled.get(type);
   if (validate === undefined) {
     const remedy = `Send a JSON object whose type is one of ${[...compiled.keys()].join(', ')}.`;
-    return results.Err(failures.create('badInput', 'The news is of no known type.', remedy));
+    return results.Err(failures.create('badInput', 'The update has an unknown type.', remedy));
   }
   if (!validate(value)) {
-    return results.Err(schemaFailures.describe('news', validate.errors ?? []));
+    return results.Err(schemaFailures.describe('update', validate.errors ?? []));
   }
   return results.Ok(value as types.UpstreamNews);
 }
--- a/packages/kumquatfront/src/directory/publicationStore.ts
+++ b/packages/kumquatfront/src/directory/publicationStore.ts
@@ -1,33 +1,32 @@
 /**
- * What every publisher has published, as far as this entry knows, with a state vector that says up to which
- * sequence it knows each publisher without a gap. The idea of the state vector is that of Moll, Patil,
- * Zhang and Pesavento, "Resilient Brokerless Publish-Subscribe over NDN"; docs/design/soft-state.md weighs
- * it against other ways.
+ * Stores the publications of all publishers, with a state vector of the highest contiguous sequence of each. State
+ * vectors follow Moll, Patil, Zhang and Pesavento, "Resilient Brokerless Publish-Subscribe over NDN"; see
+ * docs/design/soft-state.md for the alternatives.
  */
 import type * as types from './types.js';
 
-/** Stands for the incarnation of a publisher that a peer has never heard of. */
-const NEVER_HEARD = -1;
+/** Incarnation assumed for a publisher that the state vector of a peer lacks. */
+const UNKNOWN_INCARNATION = -1;
 
 interface StoredItem {
   readonly item: types.PublishedItem;
-  /** Local time at which the item would have had age 0. */
-  readonly bornAt: number;
+  /** Local time at which the item had age 0. */
+  readonly publishedAt: number;
 }
 
 interface Publisher {
   readonly incarnation: number;
-  contiguous: number;
+  contiguousSequence: number;
   readonly items: Map<string, StoredItem>;
 }
 
-/** Publications of one publisher after a sequence, complete up to `upTo`. */
-export interface Extract {
+/** Publications of one publisher after the sequence `after`, complete up to `upTo`. */
+export interface PublisherDelta {
   readonly publisher: string;
   readonly incarnation: number;
   readonly after: number;
   readonly upTo: number;
-  /** Sequence, key, age and value of each; a row, since most of what entries send is this. */
+  /** Sequence, key, age and value of each publication; rows instead of objects to keep messages small. */
   readonly rows: readonly (readonly [
     sequence: number,
     key: string,
@@ -36,16 +35,16 @@
   ])[];
 }
 
-/** The store; see the module comment. */
+/** Store of publications; see the module comment. */
 export class PublicationStore {
   private readonly publishers = new Map<string, Publisher>();
-  private readonly keepFor: number;
+  private readonly retention: number;
 
   /**
-   * @param keepFor - milliseconds an item is kept at most after it was published
+   * @param retention - maximum time in milliseconds for which an item is kept after it was published
    */
-  constructor(keepFor: number) {
-    this.keepFor = keepFor;
+  constructor(retention: number) {
+    this.retention = retention;
   }
 
   /** Publishes a value of this entry; returns the item to push. */
@@ -57,9 +56,9 @@
     now: number,
   ): types.PublishedItem {
     const known = this.publisherOf(publisher, incarnation);
-    known.contiguous += 1;
-    const item = { publisher, incarnation, sequence: known.contiguous, key, age: 0, value };
-    known.items.set(key, { item, bornAt: now });
+    known.contiguousSequence += 1;
+    const item = { publisher, incarnation, sequence: known.contiguousSequence, key, age: 0, value };
+    known.items.set(key, { item, publishedAt: now });
     return item;
   }
 
@@ -68,34 +67,34 @@
     if (known?.incarnation === incarnation) {
       return known;
     }
-    const created = { incarnation, contiguous: 0, items: new Map<string, StoredItem>() };
+    const created = { incarnation, contiguousSequence: 0, items: new Map<string, StoredItem>() };
     this.publishers.set(publisher, created);
     return created;
   }
 
-  /** Takes one pushed item; true when it is news. */
+  /** Stores a pushed item; returns true if it is new. */
   accept(item: types.PublishedItem, now: number): boolean {
     const known = this.publishers.get(item.publisher);
-    // A publisher that restarted counts from 1 again; news of its former life must not hide the new.
+    // A restarted publisher counts from 1 again; items of its previous incarnation must not hide the new ones.
     if (known !== undefined && known.incarnation > item.incarnation) {
       return false;
     }
     const publisher = this.publisherOf(item.publisher, item.incarnation);
-    if (item.sequence === publisher.contiguous + 1) {
-      publisher.contiguous = item.sequence;
+    if (item.sequence === publisher.contiguousSequence + 1) {
+      publisher.contiguousSequence = item.sequence;
     }
-    const former = publisher.items.get(item.key);
-    if (former !== undefined && former.item.sequence >= item.sequence) {
+    const previous = publisher.items.get(item.key);
+    if (previous !== undefined && previous.item.sequence >= item.sequence) {
       return false;
     }
-    publisher.items.set(item.key, { item, bornAt: now - item.age });
+    publisher.items.set(item.key, { item, publishedAt: now - item.age });
     return true;
   }
 
-  /** Takes an extract; returns the items that are news. */
-  acceptExtract(extract: Extract, now: number): readonly types.PublishedItem[] {
-    const { publisher: name, incarnation } = extract;
-    const items = extract.rows.map(([sequence, key, age, value]) => ({
+  /** Stores the items of a delta; returns those that are new. */
+  acceptDelta(delta: PublisherDelta, now: number): readonly types.PublishedItem[] {
+    const { publisher: name, incarnation } = delta;
+    const items = delta.rows.map(([sequence, key, age, value]) => ({
       publisher: name,
       incarnation,
       sequence,
@@ -105,57 +104,66 @@
     }));
     const fresh = items.filter((item) => this.accept(item, now));
     const publisher =
-      this.publishers.get(extract.publisher) ?? this.publisherOf(extract.publisher, extract.incarnation);
-    if (publisher.incarnation === extract.incarnation && extract.after <= publisher.contiguous) {
-      publisher.contiguous = Math.max(publisher.contiguous, extract.upTo);
+      this.publishers.get(delta.publisher) ?? this.publisherOf(delta.publisher, delta.incarnation);
+    if (publisher.incarnation === delta.incarnation && delta.after <= publisher.contiguousSequence) {
+      publisher.contiguousSequence = Math.max(publisher.contiguousSequence, delta.upTo);
     }
     return fresh;
   }
 
-  vector(): types.StateVector {
+  stateVector(): types.StateVector {
     const vector: Record<string, readonly [number, number]> = {};
     for (const [name, publisher] of this.publishers) {
-      vector[name] = [publisher.incarnation, publisher.contiguous];
+      vector[name] = [publisher.incarnation, publisher.contiguousSequence];
     }
     return vector;
   }
 
-  /** What a holder of `vector` lacks, publisher by publisher. */
-  missingFrom(vector: types.StateVector, now: number): readonly Extract[] {
-    const extracts: Extract[] = [];
+  /** Returns the publications that the holder of `vector` lacks, one delta for each publisher. */
+  deltasSince(vector: types.StateVector, now: number): readonly PublisherDelta[] {
+    const deltas: PublisherDelta[] = [];
     for (const [name, publisher] of this.publishers) {
-      const [incarnation, sequence] = vector[name] ?? [NEVER_HEARD, 0];
+      const [incarnation, sequence] = vector[name] ?? [UNKNOWN_INCARNATION, 0];
       const after = incarnation === publisher.incarnation ? sequence : 0;
-      if (incarnation <= publisher.incarnation && after < publisher.contiguous) {
-        extracts.push(this.extract(name, publisher, after, now));
+      if (incarnation <= publisher.incarnation && after < publisher.contiguousSequence) {
+        deltas.push(this.deltaOf(name, publisher, after, now));
       }
     }
-    return extracts;
+    return deltas;
   }
 
-  private extract(name: string, publisher: Publisher, after: number, now: number): Extract {
+  private deltaOf(name: string, publisher: Publisher, after: number, now: number): PublisherDelta {
     const rows = [...publisher.items.values()]
       .filter((stored) => stored.item.sequence > after)
-      .map(({ item, bornAt }) => [item.sequence, item.key, Math.round(now - bornAt), item.value] as const);
-    return { publisher: name, incarnation: publisher.incarnation, after, upTo: publisher.contiguous, rows };
+      .map(
+        ({ item, publishedAt: bornAt }) =>
+          [item.sequence, item.key, Math.round(now - bornAt), item.value] as const,
+      );
+    return {
+      publisher: name,
+      incarnation: publisher.incarnation,
+      after,
+      upTo: publisher.contiguousSequence,
+      rows,
+    };
   }
 
-  /** True when the holder of `vector` knows something that this store does not. */
+  /** True if the holder of `vector` has publications that this store lacks. */
   isBehind(vector: types.StateVector): boolean {
     return Object.entries(vector).some(([name, [incarnation, sequence]]) => {
       const own = this.publishers.get(name);
       if (own === undefined || own.incarnation < incarnation) {
         return true;
       }
-      return own.incarnation === incarnation && own.contiguous < sequence;
+      return own.incarnation === incarnation && own.contiguousSequence < sequence;
     });
   }
 
-  /** Drops what is too old to matter, so that the store stays as large as what is alive. */
+  /** Removes items that are older than the retention. */
   expire(now: number): void {
     for (const [name, publisher] of this.publishers) {
       for (const [key, stored] of publisher.items) {
-        if (now - stored.bornAt > this.keepFor) {
+        if (now - stored.publishedAt > this.retention) {
           publisher.items.delete(key);
         }
       }
--- a/packages/kumquatfront/src/directory/types.ts
+++ b/packages/kumquatfront/src/directory/types.ts
@@ -1,42 +1,42 @@
 /**
- * What entries know of upstreams and of each other. This is soft state: it is announced, leased and
- * repeated, never agreed on.
+ * Types of the directory: attributes of upstreams and entries that entries exchange. This is soft state: it is
+ * announced, leased and repeated, without consensus.
  */
 import type * as quarantineTypes from '../quarantine/types.js';
 import type * as labelSelector from '../selectors/labelSelector.js';
 
-/** A model engine, or a service that is only called. */
+/** A model engine, or a service that only answers calls. */
 export type UpstreamKind = 'engine' | 'plainService';
 
-/** What an upstream says of itself. */
+/** The attributes that an upstream announces. */
 export interface Announcement {
   readonly name: string;
-  /** Grows with every restart of the upstream, so that news of a former life never beats the present one. */
+  /** Increases with every restart of the upstream, so that updates of an earlier incarnation are ignored. */
   readonly incarnation: number;
-  /** Grows with every announcement of this incarnation. */
+  /** Increases with every announcement of this incarnation. */
   readonly sequence: number;
   /** `http://ip:port`. */
   readonly address: string;
   readonly kind: UpstreamKind;
   readonly labels: labelSelector.Labels;
   readonly dataCentre: string;
-  /** Tokens its memory holds; 0 for a plain service. */
+  /** Memory capacity in tokens; 0 for a plain service. */
   readonly memoryTokens: number;
-  /** Generations it runs at once at most; 0 where it does not say. */
+  /** Maximum number of concurrent generations; 0 if unknown. */
   readonly slots: number;
-  /** Milliseconds after which it counts as gone unless it announces itself again. */
+  /** Milliseconds after which the upstream is removed unless it announces itself again. */
   readonly lease: number;
   readonly leaving: boolean;
 }
 
-/** Word that an upstream announced itself again and nothing but its lease changed. */
+/** A repeated announcement that changes nothing but extends the lease. */
 export interface Renewal {
   readonly name: string;
   readonly incarnation: number;
   readonly sequence: number;
 }
 
-/** A load report; it may be late. */
+/** Load of an upstream; may arrive late. */
 export interface LoadReport {
   readonly name: string;
   readonly incarnation: number;
@@ -46,7 +46,7 @@
   readonly usedTokens: number;
 }
 
-/** Prefixes that an engine's cache gained or lost. Sequences without a gap can be trusted. */
+/** Prefixes added to and removed from the cache of an engine. The state is exact only if no sequence is missing. */
 export interface CacheEvent {
   readonly name: string;
   readonly incarnation: number;
@@ -55,47 +55,46 @@
   readonly removed: readonly string[];
 }
 
-/** What an upstream posts to any entry. */
+/** An update that an upstream posts to any entry. */
 export type UpstreamNews =
   | { readonly type: 'announce'; readonly announcement: Announcement }
   | { readonly type: 'load'; readonly report: LoadReport }
   | { readonly type: 'cache'; readonly event: CacheEvent };
 
-/** What an entry says of itself. */
+/** The attributes that an entry publishes about itself. */
 export interface EntryPresence {
   readonly name: string;
   readonly dataCentre: string;
-  /** Where callers reach it: `http://ip:port`. */
+  /** Address for callers: `http://ip:port`. */
   readonly callerAddress: string;
-  /** Where other processes of the system reach it: `ip:port`. */
+  /** Address for other processes of the system: `ip:port`. */
   readonly peerAddress: string;
   readonly state: 'serving' | 'draining' | 'stale';
-  /** Requests in flight. */
   readonly inFlight: number;
   readonly configurationVersion: number;
 }
 
-/** A value that one entry publishes to the others. */
+/** A value that an entry publishes to the other entries. */
 export type PublishedValue =
   | { readonly type: 'announce'; readonly announcement: Announcement }
   | { readonly type: 'renewal'; readonly renewal: Renewal }
   | { readonly type: 'load'; readonly report: LoadReport }
   | { readonly type: 'cache'; readonly event: CacheEvent }
   | { readonly type: 'presence'; readonly presence: EntryPresence }
-  /** What is held against a content under which upstreams have ended. */
+  /** The crash record of a content. */
   | { readonly type: 'case'; readonly record: quarantineTypes.CaseRecord };
 
-/** A published value on its way between entries. */
+/** A published value as entries exchange it. */
 export interface PublishedItem {
   readonly publisher: string;
   readonly incarnation: number;
   readonly sequence: number;
-  /** The value replaces the former one with this key of the same publisher. */
+  /** The value replaces the previous one of the same publisher and key. */
   readonly key: string;
-  /** Milliseconds since it was published, added up on the way; clocks need not agree. */
+  /** Milliseconds since it was published, accumulated per hop so that clocks need not be synchronized. */
   readonly age: number;
   readonly value: PublishedValue;
 }
 
-/** Incarnation and newest sequence known of each publisher without a gap; a pair, as it travels often. */
+/** Incarnation and highest contiguous sequence of each publisher; a pair to keep messages small. */
 export type StateVector = Readonly<Record<string, readonly [incarnation: number, sequence: number]>>;
--- a/packages/kumquatfront/src/directory/upstreamTable.spec.ts
+++ b/packages/kumquatfront/src/directory/upstreamTable.spec.ts
@@ -1,5 +1,5 @@
 /**
- * News of upstreams that comes late, twice, out of order or with gaps.
+ * Updates of upstreams that arrive late, twice, out of order or with gaps.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -34,9 +34,8 @@
   return { name: 'e1', incarnation: 1, sequence, added, removed };
 }
 
-// The engine leaves; an announcement that was under way, with a later sequence from a confused sender, and a load
-// report come after. Within this life it stays leaving and is no candidate.
-void test.test('leaving is never undone within a life', () => {
+// Guards against requests to a draining engine because of a later announcement or load report.
+void test.test('draining is final for an incarnation', () => {
   const table = new upstreamTable.UpstreamTable();
   table.announce(announcement(), 0, 0);
   table.announce(announcement({ sequence: 2, leaving: true }), 0, 0);
@@ -47,7 +46,7 @@
   assert.equal(table.candidates('pool=llm').length, 1);
 });
 
-void test.test('news of a former life changes nothing', () => {
+void test.test('updates of an earlier incarnation change nothing', () => {
   const table = new upstreamTable.UpstreamTable();
   table.announce(announcement({ incarnation: 2 }), 0, 0);
   assert.equal(table.announce(announcement({ sequence: 99, leaving: true }), 0, 0), false);
@@ -56,38 +55,36 @@
   assert.equal(table.candidates('pool=llm').length, 1);
 });
 
-void test.test('news older than its own lease brings nothing back', () => {
+void test.test('an announcement older than its own lease adds no upstream', () => {
   const table = new upstreamTable.UpstreamTable();
   assert.equal(table.announce(announcement(), LEASE, 10_000), false);
   assert.equal(table.all().length, 0);
 });
 
-// After a cut the whole announcement is too old to hold by itself, and a fresh renewal of it arrives. The upstream
-// is known again at once.
-void test.test('a fresh renewal brings back what it repeats', () => {
+// Guards against losing an upstream after a network partition, when the lease of its full announcement has expired.
+void test.test('a recent renewal restores the announcement that it repeats', () => {
   const table = new upstreamTable.UpstreamTable();
   table.announce(announcement(), LEASE, 10_000);
-  assert.equal(table.renew({ name: 'e1', incarnation: 1, sequence: 5 }, 100, 10_000), true);
+  assert.equal(table.applyRenewal({ name: 'e1', incarnation: 1, sequence: 5 }, 100, 10_000), true);
   assert.equal(table.candidates('pool=llm').length, 1);
-  assert.equal(table.renew({ name: 'e1', incarnation: 2, sequence: 6 }, 0, 10_000), false);
+  assert.equal(table.applyRenewal({ name: 'e1', incarnation: 2, sequence: 6 }, 0, 10_000), false);
 });
 
-// A cache event is lost. What was known may be evicted by now, so it is doubted: no request is drawn to the engine
-// for a prefix of before the gap.
-void test.test('a gap in the cache events empties what is known of the cache', () => {
+// Guards against routing requests to an engine for a prefix that it may have evicted since a lost event.
+void test.test('a gap in the cache events clears the known prefixes', () => {
   const table = new upstreamTable.UpstreamTable();
   table.announce(announcement(), 0, 0);
-  table.cacheEvent(cacheEvent(1, ['a', 'b']));
-  table.cacheEvent(cacheEvent(2, ['c'], ['a']));
+  table.applyCacheEvent(cacheEvent(1, ['a', 'b']));
+  table.applyCacheEvent(cacheEvent(2, ['c'], ['a']));
   assert.deepEqual(
     ['a', 'b', 'c'].map((prefix) => table.hasPrefix('e1', prefix)),
     [false, true, true],
   );
-  table.cacheEvent(cacheEvent(4, ['d']));
+  table.applyCacheEvent(cacheEvent(4, ['d']));
   assert.deepEqual(
     ['b', 'c', 'd'].map((prefix) => table.hasPrefix('e1', prefix)),
     [false, false, true],
   );
-  assert.equal(table.cacheEvent(cacheEvent(3, ['b'])), false);
+  assert.equal(table.applyCacheEvent(cacheEvent(3, ['b'])), false);
   assert.equal(table.hasPrefix('e1', 'b'), false);
 });
--- a/packages/kumquatfront/src/directory/upstreamTable.ts
+++ b/packages/kumquatfront/src/directory/upstreamTable.ts
@@ -1,53 +1,55 @@
 /**
- * The upstreams this entry knows: leases, loads and cached prefixes, whoever brought the news.
+ * Registry of the upstreams that an entry knows, with their leases, loads and cached prefixes.
  */
 import * as labelSelector from '../selectors/labelSelector.js';
 import type * as types from './types.js';
 
-/** One upstream as known now. */
+/** Current state of one upstream. */
 export interface UpstreamRecord {
   readonly announcement: types.Announcement;
-  /** Local time at which the lease ends. */
+  /** Local time at which the lease expires. */
   readonly expiresAt: number;
-  /** True from the first word that it leaves, for the rest of this incarnation. */
+  /** True from the first announcement that it is draining, for the rest of this incarnation. */
   readonly leaving: boolean;
   readonly load: types.LoadReport | undefined;
-  /** Local time at which the load was true. */
+  /** Local time at which the load was measured. */
   readonly loadAt: number;
 }
 
-interface CacheView {
+interface CacheState {
   sequence: number;
   readonly prefixes: Set<string>;
 }
 
-const CACHED_PREFIXES_KEPT = 4_096;
-const CONTENTS_KEPT = 5_000;
+const MAXIMUM_CACHED_PREFIXES = 4_096;
+const MAXIMUM_ANNOUNCEMENTS = 5_000;
 
-/** The table; see the module comment. */
+/** Registry of upstreams; see the module comment. */
 export class UpstreamTable {
   private readonly records = new Map<string, UpstreamRecord>();
-  /** Newest announcement heard of each upstream, whether its lease holds or not. */
-  private readonly contents = new Map<string, types.Announcement>();
-  private readonly caches = new Map<string, CacheView>();
+  /** Latest announcement of each upstream, including those with an expired lease. */
+  private readonly latestAnnouncements = new Map<string, types.Announcement>();
+  private readonly caches = new Map<string, CacheState>();
   private version = 0;
   private evacuated: ReadonlySet<string> = new Set();
-  private readonly bySelector = new Map<string, { version: number; records: readonly UpstreamRecord[] }>();
+  private readonly candidatesBySelector = new Map<
+    string,
+    { version: number; records: readonly UpstreamRecord[] }
+  >();
 
-  /** Takes an announcement that is `age` milliseconds old; true when it is news. */
+  /** Applies an announcement that is `age` milliseconds old; returns true if it was accepted. */
   announce(announcement: types.Announcement, age: number, now: number): boolean {
-    this.rememberContent(announcement);
+    this.rememberAnnouncement(announcement);
     const known = this.records.get(announcement.name);
-    const before = known?.announcement;
-    if (before !== undefined && !isNewer(announcement, before)) {
+    const previous = known?.announcement;
+    if (previous !== undefined && !isNewer(announcement, previous)) {
       return false;
     }
-    const sameLife = before?.incarnation === announcement.incarnation;
-    // Once it has said that it leaves, a late or repeated announcement of the same life cannot bring it
-    // back: work sent to it then would be cut off.
-    const leaving = announcement.leaving || (sameLife && known?.leaving === true);
+    const sameIncarnation = previous?.incarnation === announcement.incarnation;
+    // Draining is final for an incarnation: requests sent after a late or repeated announcement would be cut off.
+    const leaving = announcement.leaving || (sameIncarnation && known?.leaving === true);
     const expiresAt = now - age + announcement.lease;
-    // News older than its own lease is from before a silence; taking it would bring back the dead.
+    // An announcement older than its own lease must not add an upstream that has expired.
     if (expiresAt <= now) {
       return false;
     }
@@ -55,43 +57,43 @@
       announcement,
       expiresAt,
       leaving,
-      load: sameLife ? known?.load : undefined,
-      loadAt: sameLife ? (known?.loadAt ?? 0) : 0,
+      load: sameIncarnation ? known?.load : undefined,
+      loadAt: sameIncarnation ? (known?.loadAt ?? 0) : 0,
     });
-    if (!sameLife) {
+    if (!sameIncarnation) {
       this.caches.delete(announcement.name);
     }
-    if (!sameLife || leaving !== known?.leaving || before.labels !== announcement.labels) {
+    if (!sameIncarnation || leaving !== known?.leaving || previous.labels !== announcement.labels) {
       this.version += 1;
     }
     return true;
   }
 
   /**
-   * Takes word that an announcement was repeated unchanged `age` milliseconds ago. What it repeats may have
-   * come too late to hold by itself, after a cut, so it is looked up among all that were ever heard lately.
+   * Applies a renewal that is `age` milliseconds old. The announcement that it repeats may itself have arrived with an
+   * expired lease, as after a network partition, so it is looked up among all recent announcements.
    */
-  renew(renewal: types.Renewal, age: number, now: number): boolean {
-    const content = this.contents.get(renewal.name);
+  applyRenewal(renewal: types.Renewal, age: number, now: number): boolean {
+    const announcement = this.latestAnnouncements.get(renewal.name);
     return (
-      content?.incarnation === renewal.incarnation &&
-      this.announce({ ...content, sequence: renewal.sequence }, age, now)
+      announcement?.incarnation === renewal.incarnation &&
+      this.announce({ ...announcement, sequence: renewal.sequence }, age, now)
     );
   }
 
-  private rememberContent(announcement: types.Announcement): void {
-    const known = this.contents.get(announcement.name);
+  private rememberAnnouncement(announcement: types.Announcement): void {
+    const known = this.latestAnnouncements.get(announcement.name);
     if (known !== undefined && !isNewer(announcement, known)) {
       return;
     }
-    this.contents.delete(announcement.name);
-    this.contents.set(announcement.name, announcement);
-    if (this.contents.size > CONTENTS_KEPT) {
-      this.contents.delete(this.contents.keys().next().value ?? '');
+    this.latestAnnouncements.delete(announcement.name);
+    this.latestAnnouncements.set(announcement.name, announcement);
+    if (this.latestAnnouncements.size > MAXIMUM_ANNOUNCEMENTS) {
+      this.latestAnnouncements.delete(this.latestAnnouncements.keys().next().value ?? '');
     }
   }
 
-  /** Takes a load report; it never changes whether the upstream leaves. */
+  /** Applies a load report; never changes whether the upstream is draining. */
   report(report: types.LoadReport, age: number, now: number): boolean {
     const known = this.records.get(report.name);
     if (known?.announcement.incarnation !== report.incarnation) {
@@ -106,36 +108,36 @@
   }
 
   /**
-   * Takes a cache event. After a gap, what was known of the cache is dropped: an evicted prefix would
-   * otherwise draw requests to an engine that must compute it again.
+   * Applies a cache event. A gap in the sequence clears the known prefixes, because requests must not be routed to an
+   * engine for a prefix that it may have evicted.
    */
-  cacheEvent(event: types.CacheEvent): boolean {
+  applyCacheEvent(event: types.CacheEvent): boolean {
     if (this.records.get(event.name)?.announcement.incarnation !== event.incarnation) {
       return false;
     }
-    const view = this.caches.get(event.name) ?? { sequence: 0, prefixes: new Set<string>() };
-    if (event.sequence <= view.sequence) {
+    const state = this.caches.get(event.name) ?? { sequence: 0, prefixes: new Set<string>() };
+    if (event.sequence <= state.sequence) {
       return false;
     }
-    if (event.sequence !== view.sequence + 1) {
-      view.prefixes.clear();
+    if (event.sequence !== state.sequence + 1) {
+      state.prefixes.clear();
     }
-    view.sequence = event.sequence;
+    state.sequence = event.sequence;
     for (const prefix of event.added) {
-      view.prefixes.add(prefix);
+      state.prefixes.add(prefix);
     }
     for (const prefix of event.removed) {
-      view.prefixes.delete(prefix);
+      state.prefixes.delete(prefix);
     }
-    while (view.prefixes.size > CACHED_PREFIXES_KEPT) {
-      const [oldest] = view.prefixes;
-      view.prefixes.delete(oldest ?? '');
+    while (state.prefixes.size > MAXIMUM_CACHED_PREFIXES) {
+      const [oldest] = state.prefixes;
+      state.prefixes.delete(oldest ?? '');
     }
-    this.caches.set(event.name, view);
+    this.caches.set(event.name, state);
     return true;
   }
 
-  /** True where the engine is believed to have a prefix cached. */
+  /** True if the engine is known to have cached a prefix. */
   hasPrefix(name: string, prefix: string): boolean {
     return this.caches.get(name)?.prefixes.has(prefix) === true;
   }
@@ -148,19 +150,19 @@
     return [...this.records.values()];
   }
 
-  /** Replaces the data centres whose upstreams are to get nothing new. */
+  /** Replaces the evacuated data centres, whose upstreams get no new requests. */
   setEvacuated(dataCentres: readonly string[]): void {
     this.evacuated = new Set(dataCentres);
     this.version += 1;
   }
 
-  private takesWork(record: UpstreamRecord): boolean {
+  private acceptsRequests(record: UpstreamRecord): boolean {
     return !record.leaving && !this.evacuated.has(record.announcement.dataCentre);
   }
 
-  /** Upstreams of a label selector that may get new work: leased, not leaving, in no evacuated data centre. */
+  /** Returns the upstreams that match a label selector, are not draining and are in no evacuated data centre. */
   candidates(selectorText: string): readonly UpstreamRecord[] {
-    const cached = this.bySelector.get(selectorText);
+    const cached = this.candidatesBySelector.get(selectorText);
     if (cached?.version === this.version) {
       return cached.records;
     }
@@ -168,25 +170,26 @@
     const records = parsed.err
       ? []
       : this.all().filter(
-          (record) => this.takesWork(record) && labelSelector.matches(parsed.val, record.announcement.labels),
+          (record) =>
+            this.acceptsRequests(record) && labelSelector.matches(parsed.val, record.announcement.labels),
         );
-    this.bySelector.set(selectorText, { version: this.version, records });
+    this.candidatesBySelector.set(selectorText, { version: this.version, records });
     return records;
   }
 
-  /** Forgets upstreams whose lease has ended; returns their names. */
+  /** Removes upstreams whose lease has expired; returns their names. */
   expire(now: number): readonly string[] {
-    const gone = this.all()
+    const expired = this.all()
       .filter((record) => record.expiresAt <= now)
       .map((record) => record.announcement.name);
-    for (const name of gone) {
+    for (const name of expired) {
       this.records.delete(name);
       this.caches.delete(name);
     }
-    if (gone.length > 0) {
+    if (expired.length > 0) {
       this.version += 1;
     }
-    return gone;
+    return expired;
   }
 }
 
--- a/packages/kumquatfront/src/instances/announcement.ts
+++ b/packages/kumquatfront/src/instances/announcement.ts
@@ -1,33 +1,31 @@
 /**
- * What an instance said, without what its keeper noted besides, and how its incarnations are told apart.
+ * Helpers for instance announcements: extraction from a record, and identity of incarnations.
  */
 import type * as types from './types.js';
 
 /**
- * Takes the announcement out of a record.
+ * Extracts the announcement from a record.
  *
- * @param record - an announcement, perhaps with further fields
- * @returns the announcement alone, as it goes between processes
+ * @param record - an announcement, possibly with further fields
+ * @returns only the fields of the announcement, as they are sent between processes
  * @example
  * ```ts
- * announcement.of(instance);
+ * announcement.fromRecord(instance);
  * ```
  */
-export function of(record: types.Announcement): types.Announcement {
+export function fromRecord(record: types.Announcement): types.Announcement {
   const { identity, name, born, service, address, dataCentre, slots, state, warmUpLeft, sequence } = record;
   return { identity, name, born, service, address, dataCentre, slots, state, warmUpLeft, sequence };
 }
 
 /**
- * Identity of one incarnation.
+ * Returns the identity of one incarnation.
  *
- * Pattern: an instance crashes and starts again under its name, its counts from 1, its memory empty. Taken for the
- * same, it is sent moves of generations that it never had, and its announcements look older than those of the
- * incarnation before, so that it gets no request. Everything here is kept by identity, so that nothing of one
- * incarnation is taken for another's.
+ * State is keyed by identity because a restarted instance keeps its name but counts from 1 with empty memory: keyed by
+ * name, it would receive moves of generations that it never ran, and its announcements would be ignored as outdated.
  *
- * @param name - what the instance calls itself
- * @param born - its start in Unix milliseconds; 0 where it does not say, and its name is new at each start
+ * @param name - the name of the instance
+ * @param born - its start time in Unix milliseconds; 0 if unknown, in which case the name is unique for each start
  * @returns the identity
  * @example
  * ```ts
@@ -39,17 +37,17 @@
 }
 
 /**
- * True where an announcement under a known identity cannot be that incarnation's: it never changes its service or
- * its address, so somebody else wrote it.
+ * Checks whether an announcement contradicts an earlier one of the same identity. An incarnation never changes its
+ * service or its address, so a conflicting announcement was sent by another process.
  *
- * @param known - what was heard before
- * @param announcement - what claims to be the same
- * @returns whether it is to be left out
+ * @param known - the earlier announcement
+ * @param announcement - a later announcement with the same identity
+ * @returns true if the later announcement must be ignored
  * @example
  * ```ts
- * announcement.isForeign(known, { ...known, address: '10.0.0.9:80' }); // true
+ * announcement.isConflicting(known, { ...known, address: '10.0.0.9:80' }); // true
  * ```
  */
-export function isForeign(known: types.Announcement, announcement: types.Announcement): boolean {
+export function isConflicting(known: types.Announcement, announcement: types.Announcement): boolean {
   return known.service !== announcement.service || known.address !== announcement.address;
 }
--- a/packages/kumquatfront/src/instances/instanceBench.ts
+++ b/packages/kumquatfront/src/instances/instanceBench.ts
@@ -1,10 +1,10 @@
 /**
- * Announcements and views of instances, for the specs.
+ * Test helpers that create instance announcements and views.
  */
 import * as instanceView from './instanceView.js';
 import type * as types from './types.js';
 
-/** An announcement of a ready instance of a model service. */
+/** Creates an announcement of a ready instance of a model service. */
 export function announcement(
   identity: string,
   changes: Partial<types.Announcement> = {},
@@ -24,7 +24,7 @@
   };
 }
 
-/** A view with what has happened to it, as `identity event`. */
+/** Creates a view that records its changes as `identity event`. */
 export function createView(): { view: instanceView.InstanceView; events: string[] } {
   const events: string[] = [];
   const view = new instanceView.InstanceView(({ changes }) => {
--- a/packages/kumquatfront/src/instances/instanceLog.spec.ts
+++ b/packages/kumquatfront/src/instances/instanceLog.spec.ts
@@ -1,5 +1,5 @@
 /**
- * How much an entry writes of instances, however many there are.
+ * Volume and content of the log lines about instances.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -13,22 +13,22 @@
 const INSTANCES = 600;
 const REPLICAS = ['c1', 'c2', 'c3', 'c4', 'c5'];
 
-/** A log that keeps the fields of its lines. */
-function keptLog(): { readonly log: ports.Log; readonly lines: ports.LogFields[] } {
+/** Creates a log that records the fields of its lines. */
+function createRecordingLog(): { readonly log: ports.Log; readonly lines: ports.LogFields[] } {
   const lines: ports.LogFields[] = [];
-  const silent = (): void => undefined;
+  const ignore = (): void => undefined;
   const log: ports.Log = {
-    ...{ debug: silent, warn: silent, error: silent },
+    ...{ debug: ignore, warn: ignore, error: ignore },
     info: (_event, fields) => lines.push(fields ?? {}),
   };
   return { log, lines };
 }
 
-/** Lines of an entry that hears of a whole fleet from every replica. */
-function linesOfFleet(): readonly ports.LogFields[] {
-  const { log, lines } = keptLog();
-  const view = new instanceView.InstanceView((news) => {
-    instanceLog.write(log, news);
+/** Returns the log lines of an entry that receives the complete fleet from every replica. */
+function logLinesForFleet(): readonly ports.LogFields[] {
+  const { log, lines } = createRecordingLog();
+  const view = new instanceView.InstanceView((update) => {
+    instanceLog.write(log, update);
   });
   for (const replica of REPLICAS) {
     const table = new instanceTable.InstanceTable(replica);
@@ -40,22 +40,24 @@
   return lines;
 }
 
-// An entry that starts hears of six hundred instances from five replicas. Three hundred entries that write a line for
-// each of them fill the disks of whoever collects logs, and hide the lines about requests.
-void test.test('a fleet that is heard of costs one line for thirty instances, whoever tells of it', () => {
-  const lines = linesOfFleet();
-  assert.equal(lines.length, INSTANCES / instanceLog.INSTANCES_A_LINE);
+// Guards against one log line for each instance and replica when an entry starts in a large fleet.
+void test.test('a new fleet is logged with thirty instances per line, once for all replicas', () => {
+  const lines = logLinesForFleet();
+  assert.equal(lines.length, INSTANCES / instanceLog.INSTANCES_PER_LINE);
   assert.deepEqual(lines[0]?.control, 'c1');
 });
 
-void test.test('what leaves and what is gone are told apart, with the revisions of the replica', () => {
-  const { log, lines } = keptLog();
-  const instance = { ...controlBench.announcementOf('i1', 1), firstAt: 0, coldUntil: 0 };
-  const other = { ...controlBench.announcementOf('i2', 1), firstAt: 0, coldUntil: 0 };
-  const changes = [
-    { instance, event: 'leaving' },
-    { instance: other, event: 'gone' },
-  ] as const;
-  instanceLog.write(log, { source: 'c1', revisionBefore: 4, revision: 6, changes });
-  assert.deepEqual(lines, [{ control: 'c1', revisionBefore: 4, revision: 6, leaving: 'i1', gone: 'i2' }]);
-});
+void test.test(
+  'draining and removed instances are logged separately, with the revisions of the replica',
+  () => {
+    const { log, lines } = createRecordingLog();
+    const instance = { ...controlBench.announcementOf('i1', 1), firstAt: 0, coldUntil: 0 };
+    const other = { ...controlBench.announcementOf('i2', 1), firstAt: 0, coldUntil: 0 };
+    const changes = [
+      { instance, event: 'leaving' },
+      { instance: other, event: 'gone' },
+    ] as const;
+    instanceLog.write(log, { source: 'c1', revisionBefore: 4, revision: 6, changes });
+    assert.deepEqual(lines, [{ control: 'c1', revisionBefore: 4, revision: 6, leaving: 'i1', gone: 'i2' }]);
+  },
+);
--- a/packages/kumquatfront/src/instances/instanceLog.ts
+++ b/packages/kumquatfront/src/instances/instanceLog.ts
@@ -1,19 +1,17 @@
 /**
- * What an entry logs of instances: one line for all that an answer of control changed.
- *
- * Pattern: hundreds of entries each see hundreds of instances come and go. A line for each of them made three in four
- * lines of a large fleet's logs, and said where the news came from in none.
+ * Logs instance changes of an entry: one line for all changes from one response of control, because a line for each
+ * instance would dominate the logs of a large fleet.
  */
 import type * as ports from '../kernel/ports.js';
 import type * as instanceView from './instanceView.js';
 
-/** Instances of one line at most: some two kilobytes, which a reader and a log collector take well. */
-export const INSTANCES_A_LINE = 30;
+/** Maximum number of instances in one log line; keeps lines to about two kilobytes. */
+export const INSTANCES_PER_LINE = 30;
 
-/** What stands between the parts of an instance that is found: identity, service and address. */
+/** Separates the parts of one logged instance, such as identity, service and address. */
 export const PART_SEPARATOR = '|';
 
-function describe({ instance, event }: instanceView.InstanceChange): string {
+function formatChange({ instance, event }: instanceView.InstanceChange): string {
   const { identity, service, address, rateLimit } = instance;
   if (event === 'rateLimitTold') {
     return [identity, rateLimit?.perSecond ?? 'none'].join(PART_SEPARATOR);
@@ -21,37 +19,37 @@
   return event === 'found' ? [identity, service, address].join(PART_SEPARATOR) : identity;
 }
 
-function listed(
+function fieldFor(
   changes: readonly instanceView.InstanceChange[],
   event: instanceView.InstanceEvent,
 ): ports.LogFields {
-  const names = changes.filter((change) => change.event === event).map(describe);
+  const names = changes.filter((change) => change.event === event).map(formatChange);
   return names.length === 0 ? {} : { [event]: names.join(' ') };
 }
 
 /**
- * Writes what changed, in as few lines as keep each of them short.
+ * Logs the changes of one update, split into lines of limited length.
  *
- * @param log - where it goes
- * @param news - the changes, the replica that told of them and its revisions before and after
+ * @param log - the log to write to
+ * @param update - the changes, the replica that reported them and its revisions before and after
  * @example
  * ```ts
- * const view = new instanceView.InstanceView((news) => instanceLog.write(log, news));
+ * const view = new instanceView.InstanceView((update) => instanceLog.write(log, update));
  * ```
  */
-export function write(log: ports.Log, news: instanceView.ViewNews): void {
-  const { source, revisionBefore, revision, changes } = news;
-  for (let from = 0; from < changes.length; from += INSTANCES_A_LINE) {
-    const part = changes.slice(from, from + INSTANCES_A_LINE);
+export function write(log: ports.Log, update: instanceView.ViewUpdate): void {
+  const { source, revisionBefore, revision, changes } = update;
+  for (let from = 0; from < changes.length; from += INSTANCES_PER_LINE) {
+    const batch = changes.slice(from, from + INSTANCES_PER_LINE);
     log.info('instancesSeen', {
       control: source,
       revisionBefore,
       revision,
-      ...listed(part, 'found'),
-      ...listed(part, 'leaving'),
-      ...listed(part, 'rateLimitTold'),
-      ...listed(part, 'gone'),
-      ...listed(part, 'replaced'),
+      ...fieldFor(batch, 'found'),
+      ...fieldFor(batch, 'leaving'),
+      ...fieldFor(batch, 'rateLimitTold'),
+      ...fieldFor(batch, 'gone'),
+      ...fieldFor(batch, 'replaced'),
     });
   }
 }
--- a/packages/kumquatfront/src/instances/instanceTable.ts
+++ b/packages/kumquatfront/src/instances/instanceTable.ts
@@ -1,67 +1,70 @@
 /**
- * Soft state of one control replica: which upstream instances there are. Fed by announcements and by what
- * other replicas heard; read by entries as news since a revision.
+ * Soft state of one control replica: the registry of upstream instances. It is updated from announcements and from the
+ * listings of other replicas; entries read the changes since a revision.
  */
 import type * as backPressureTypes from '../backPressure/types.js';
 import type * as ports from '../kernel/ports.js';
 import * as announcements from './announcement.js';
 import type * as types from './types.js';
 
-/** Silence after which an instance counts as gone: three announcements lost in a row, and a late fourth. */
+/** Time without an announcement after which an instance is removed; tolerates three lost announcements in a row. */
 export const INSTANCE_LEASE: ports.Milliseconds = 5_000;
 
-/** A leaving instance is kept this long, so that its generations can still be moved off it. */
-export const LEAVING_KEPT: ports.Milliseconds = 15_000;
+/** Time for which a draining instance is kept after its last announcement, so that its generations can be moved. */
+export const DRAINING_RETENTION: ports.Milliseconds = 15_000;
 
-/** Removed identities are remembered this long: well past the seconds by which an announcement may be late. */
-const REMOVED_KEPT: ports.Milliseconds = 60_000;
+/** Time for which removed identities are kept; longer than the delay of any announcement. */
+const REMOVAL_RETENTION: ports.Milliseconds = 60_000;
 
 /**
- * A notice of a name that is not known here concerns whatever is heard of under it for this long: announcements come
- * seconds late at most. What is heard later has started anew.
+ * Time for which a termination notice for an unknown name applies to announcements of that name. A later announcement
+ * belongs to a new incarnation.
  */
-const NOTICE_AWAITS: ports.Milliseconds = 5_000;
+const PENDING_NOTICE_RETENTION: ports.Milliseconds = 5_000;
 
-/** Announcements of the same warm-up differ by the way they took; what ends this much later is another one. */
-const SAME_WARM_UP: ports.Milliseconds = 250;
+/**
+ * Tolerance when comparing the ends of warm-ups: network delay shifts the end that repeated announcements yield. A
+ * warm-up that ends later than this is a new one.
+ */
+const WARM_UP_END_TOLERANCE: ports.Milliseconds = 250;
 
-/** The newest start that was heard of under a name, and when it was heard of last. */
-interface NewestStart {
+/** The newest incarnation of a name, and the time of its last announcement. */
+interface NewestIncarnation {
   readonly born: number;
-  readonly at: number;
+  readonly lastSeenAt: number;
 }
 
-interface Held {
+interface TableEntry {
   announcement: types.Announcement;
-  heardAt: number;
-  readonly firstAt: number;
-  /** End of its warm-up; in the past where it is warm. */
+  lastSeenAt: number;
+  readonly firstSeenAt: number;
+  /** End of the warm-up; in the past if the instance is warm. */
   coldUntil: number;
-  /** What entries have heard of its rate limit. */
+  /** The rate limit that entries have reported. */
   rateLimit?: backPressureTypes.KnownRateLimit;
   revision: number;
 }
 
-interface Removed {
+interface RemovedInstance {
   readonly identity: string;
-  readonly at: number;
+  readonly removedAt: number;
   readonly revision: number;
-  /** A removed instance that had only fallen silent may be heard of again; one that left may not. */
+  /** False if the instance may be listed again when it announces itself, as after an expired lease. */
   readonly final: boolean;
 }
 
-/** The table; see the module comment. */
+/** Registry of the upstream instances that one control replica knows. */
 export class InstanceTable {
-  private readonly held = new Map<string, Held>();
-  private removed: Removed[] = [];
-  /** By name. Kept as long as removed identities, so that an older start stays out after the newer one has gone. */
-  private readonly newestStarts = new Map<string, NewestStart>();
-  /** Names of which a notice came before any announcement, with its moment. */
-  private readonly noticed = new Map<string, number>();
+  private readonly entries = new Map<string, TableEntry>();
+  private removed: RemovedInstance[] = [];
+  /** By name. Kept after the newest incarnation is removed, so that older ones are still rejected. */
+  private readonly newestIncarnations = new Map<string, NewestIncarnation>();
+  /** Names for which a termination notice arrived before any announcement, with its time. */
+  private readonly pendingNotices = new Map<string, number>();
   private revision = 1;
-  private lastNotice = 0;
-  /** Removals up to this revision are forgotten: a reader that is further behind needs the whole table. */
-  private forgottenRevision = 0;
+  private lastImmediateRevision = 0;
+  /** Removals up to this revision are discarded; a reader that is further behind needs the complete table. */
+  private discardedRevision = 0;
   readonly epoch: string;
   private readonly lease: ports.Milliseconds;
 
@@ -74,25 +77,25 @@
     return this.revision;
   }
 
-  /** Revision at which an instance gave notice last, became cold, or was heard to name a rate limit or none any more. */
+  /** Last revision that entries must receive at once: a termination notice, a warm-up, a new or lifted rate limit. */
   get noticeRevision(): number {
-    return this.lastNotice;
+    return this.lastImmediateRevision;
   }
 
   /**
-   * Takes an announcement in.
+   * Applies an announcement.
    *
-   * @returns true where it changes what entries must know
+   * @returns true if entries must be informed of a change
    */
   hear(announcement: types.Announcement, now: number, age = 0, firstAge = age): boolean {
     const { identity } = announcement;
-    const known = this.held.get(identity);
-    if (!this.isNewestStart(announcement, now)) {
+    const known = this.entries.get(identity);
+    if (!this.acceptIncarnation(announcement, now)) {
       return false;
     }
     if (known === undefined) {
-      if (this.isNoticed(announcement.name, now)) {
-        this.forgetForGood(identity, now);
+      if (this.hasPendingNotice(announcement.name, now)) {
+        this.removePermanently(identity, now);
         return false;
       }
       if (this.removed.some((entry) => entry.identity === identity && entry.final)) {
@@ -102,28 +105,28 @@
         return false;
       }
       this.advance(announcement.state === 'leaving');
-      const firstAt = now - firstAge;
+      const firstSeenAt = now - firstAge;
       const coldUntil = now + announcement.warmUpLeft;
-      this.held.set(identity, {
+      this.entries.set(identity, {
         announcement,
-        heardAt: now - age,
-        firstAt,
+        lastSeenAt: now - age,
+        firstSeenAt,
         coldUntil,
         revision: this.revision,
       });
       this.removed = this.removed.filter((entry) => entry.identity !== identity);
       return true;
     }
-    if (announcements.isForeign(known.announcement, announcement)) {
+    if (announcements.isConflicting(known.announcement, announcement)) {
       return false;
     }
     if (announcement.sequence <= known.announcement.sequence && announcement.state === 'ready') {
       return false;
     }
-    known.heardAt = Math.max(known.heardAt, now - age);
-    // Leaving is final for an incarnation: a delayed announcement from before it must not bring it back.
+    known.lastSeenAt = Math.max(known.lastSeenAt, now - age);
+    // Draining is final for an incarnation: a delayed announcement must not make it ready again.
     const state = known.announcement.state === 'leaving' ? 'leaving' : announcement.state;
-    const becameCold = this.noteWarmUp(known, announcement.warmUpLeft, now);
+    const becameCold = this.recordWarmUp(known, announcement.warmUpLeft, now);
     const changed =
       becameCold || state !== known.announcement.state || announcement.slots !== known.announcement.slots;
     known.announcement = {
@@ -138,25 +141,28 @@
     return changed;
   }
 
-  /** Takes in how long an instance stays cold; true where that is news. */
-  private noteWarmUp(known: Held, warmUpLeft: ports.Milliseconds, now: number): boolean {
+  /** Updates the end of the warm-up; returns true if a new warm-up has begun. */
+  private recordWarmUp(known: TableEntry, warmUpLeft: ports.Milliseconds, now: number): boolean {
     const coldUntil = now + warmUpLeft;
-    const becameCold = warmUpLeft > 0 && coldUntil > known.coldUntil + SAME_WARM_UP;
+    const becameCold = warmUpLeft > 0 && coldUntil > known.coldUntil + WARM_UP_END_TOLERANCE;
     known.coldUntil = Math.max(known.coldUntil, coldUntil);
     return becameCold;
   }
 
   /**
-   * Takes the instances of a data centre for cold that may be, though they have not said so yet.
+   * Treats the instances of a data centre as cold before they announce it themselves.
    *
-   * @param durationOf - how long the instances of a service stay cold
-   * @returns true where entries must know of it
+   * @param durationOf - warm-up time of the instances of a service
+   * @returns true if entries must be informed of a change
    */
   assumeCold(dataCentre: string, durationOf: (service: string) => ports.Milliseconds, now: number): boolean {
     let changed = false;
-    for (const known of this.held.values()) {
+    for (const known of this.entries.values()) {
       const { service } = known.announcement;
-      if (known.announcement.dataCentre === dataCentre && this.noteWarmUp(known, durationOf(service), now)) {
+      if (
+        known.announcement.dataCentre === dataCentre &&
+        this.recordWarmUp(known, durationOf(service), now)
+      ) {
         this.advance(true);
         known.revision = this.revision;
         changed = true;
@@ -166,103 +172,104 @@
   }
 
   /**
-   * Takes in what an entry has heard of an instance's rate limit.
+   * Records the rate limit of an instance as reported by an entry.
    *
-   * @param perSecond - requests a second; undefined where the instance does not name a limit any more
-   * @param heardAt - when it was heard
-   * @returns true where entries must know of it
+   * @param perSecond - requests per second; undefined if the instance no longer states a limit
+   * @param receivedAt - time at which the entry received it
+   * @returns true if entries must be informed of a change
    */
-  noteRateLimit(identity: string, perSecond: number | undefined, heardAt: number): boolean {
-    const known = this.held.get(identity);
-    if (known === undefined || heardAt <= (known.rateLimit?.heardAt ?? Number.NEGATIVE_INFINITY)) {
+  noteRateLimit(identity: string, perSecond: number | undefined, receivedAt: number): boolean {
+    const known = this.entries.get(identity);
+    if (known === undefined || receivedAt <= (known.rateLimit?.heardAt ?? Number.NEGATIVE_INFINITY)) {
       return false;
     }
-    const former = known.rateLimit?.perSecond;
-    known.rateLimit = { perSecond, heardAt };
-    if (perSecond === former) {
+    const previous = known.rateLimit?.perSecond;
+    known.rateLimit = { perSecond, heardAt: receivedAt };
+    if (perSecond === previous) {
       return false;
     }
-    // Entries hear at once that a limit begins or ends. An upstream that names another one with every answer must not
-    // wake all of them each time.
-    this.advance(perSecond === undefined || former === undefined);
+    // Only the begin and the end of a limit are sent at once: an upstream that states a different limit in every
+    // response must not wake all entries each time.
+    this.advance(perSecond === undefined || previous === undefined);
     known.revision = this.revision;
     return true;
   }
 
-  private advance(isNotice: boolean): void {
+  private advance(isImmediate: boolean): void {
     this.revision += 1;
-    if (isNotice) {
-      this.lastNotice = this.revision;
+    if (isImmediate) {
+      this.lastImmediateRevision = this.revision;
     }
   }
 
   /**
-   * False for an incarnation that another one has followed under the same name. The first announcement of a newer
-   * start drops the older incarnation: it holds nothing any more, whatever is still on its way from it.
+   * Records the newest incarnation of a name and removes older ones.
+   *
+   * @returns false if a newer incarnation of the name is known
    */
-  private isNewestStart({ name, born }: types.Announcement, now: number): boolean {
-    const newest = this.newestStarts.get(name);
+  private acceptIncarnation({ name, born }: types.Announcement, now: number): boolean {
+    const newest = this.newestIncarnations.get(name);
     if (newest !== undefined && born < newest.born) {
       return false;
     }
-    this.newestStarts.set(name, { born, at: now });
+    this.newestIncarnations.set(name, { born, lastSeenAt: now });
     if (newest !== undefined && born > newest.born) {
-      this.dropOlder(name, born, now);
+      this.removeOlderIncarnations(name, born, now);
     }
     return true;
   }
 
-  private dropOlder(name: string, born: number, now: number): void {
-    for (const [identity, { announcement }] of this.held) {
+  private removeOlderIncarnations(name: string, born: number, now: number): void {
+    for (const [identity, { announcement }] of this.entries) {
       if (announcement.name === name && announcement.born < born) {
-        this.held.delete(identity);
-        this.forgetForGood(identity, now);
+        this.entries.delete(identity);
+        this.removePermanently(identity, now);
       }
     }
   }
 
-  private forgetForGood(identity: string, now: number): void {
+  private removePermanently(identity: string, now: number): void {
     this.revision += 1;
-    this.removed.push({ identity, at: now, revision: this.revision, final: true });
+    this.removed.push({ identity, removedAt: now, revision: this.revision, final: true });
   }
 
-  private isNoticed(name: string, now: number): boolean {
-    const at = this.noticed.get(name);
-    return at !== undefined && now - at < NOTICE_AWAITS;
+  private hasPendingNotice(name: string, now: number): boolean {
+    const at = this.pendingNotices.get(name);
+    return at !== undefined && now - at < PENDING_NOTICE_RETENTION;
   }
 
-  /** Takes over what another replica is known to list at this moment; true where it changes anything. */
+  /** Applies an instance that another replica currently lists; returns true if anything changed. */
   vouch(announcement: types.Announcement, now: number): boolean {
-    const known = this.held.get(announcement.identity);
+    const known = this.entries.get(announcement.identity);
     if (known === undefined) {
       return this.hear(announcement, now);
     }
-    known.heardAt = now;
+    known.lastSeenAt = now;
     return announcement.state === 'leaving' && this.leave(announcement.identity, now);
   }
 
   /**
-   * Marks an instance as leaving, where only its name is told, and perhaps its start.
+   * Marks an instance as draining by its name and, if known, its start time.
    *
-   * @param born - start of the incarnation that leaves; undefined means the one that is known by the name
-   * @returns the identity of the instance where entries must know of it
+   * @param born - start time of the incarnation; undefined selects the newest known one
+   * @returns the identity of the instance if entries must be informed, otherwise undefined
    */
   leaveByName(name: string, born: number | undefined, now: number): string | undefined {
-    const newest = this.newestStarts.get(name)?.born;
-    const meant = born ?? newest;
-    if (meant === undefined) {
-      this.noticed.set(name, now);
+    const newest = this.newestIncarnations.get(name)?.born;
+    const incarnationStart = born ?? newest;
+    if (incarnationStart === undefined) {
+      this.pendingNotices.set(name, now);
       return undefined;
     }
-    const identity = announcements.identityOf(name, meant);
+    const identity = announcements.identityOf(name, incarnationStart);
     return this.leave(identity, now) ? identity : undefined;
   }
 
-  /** Marks an instance as leaving, where only its identity is told. */
+  /** Marks an instance as draining by its identity; returns true if entries must be informed. */
   leave(identity: string, now: number): boolean {
-    const known = this.held.get(identity);
+    const known = this.entries.get(identity);
     if (known === undefined) {
-      this.removed.push({ identity, at: now, revision: this.revision, final: true });
+      this.removed.push({ identity, removedAt: now, revision: this.revision, final: true });
       return false;
     }
     const { announcement } = known;
@@ -270,93 +277,99 @@
   }
 
   /**
-   * Drops an instance at whose address nothing listens any more, instead of after its lease: until then every entry
-   * would send it work first. An announcement that comes after all brings it back.
+   * Removes an instance whose address refuses connections without waiting for its lease to expire, so that entries stop
+   * sending it requests. A later announcement adds it again.
    *
-   * @returns true where it was listed
+   * @returns true if it was listed
    */
   end(identity: string, now: number): boolean {
-    const known = this.held.get(identity);
+    const known = this.entries.get(identity);
     if (known === undefined) {
       return false;
     }
-    this.drop(identity, known, now);
+    this.remove(identity, known, now);
     return true;
   }
 
-  private drop(identity: string, { announcement }: Held, now: number): void {
-    this.held.delete(identity);
+  private remove(identity: string, { announcement }: TableEntry, now: number): void {
+    this.entries.delete(identity);
     this.revision += 1;
     const final = announcement.state === 'leaving';
-    this.removed.push({ identity, at: now, revision: this.revision, final });
+    this.removed.push({ identity, removedAt: now, revision: this.revision, final });
   }
 
-  /** True where an instance is known to leave, or to be gone. */
+  /** True if an instance is draining or was removed recently. */
   isLeaving(identity: string): boolean {
-    const known = this.held.get(identity);
+    const known = this.entries.get(identity);
     return known === undefined
       ? this.removed.some((entry) => entry.identity === identity)
       : known.announcement.state === 'leaving';
   }
 
-  /** Drops what has been silent for its lease; true where something was dropped. */
+  /** Removes instances whose lease has expired; returns true if any was removed. */
   expire(now: number): boolean {
-    let dropped = false;
-    for (const [identity, known] of this.held) {
+    let removedAny = false;
+    for (const [identity, known] of this.entries) {
       const leaving = known.announcement.state === 'leaving';
-      if (now - known.heardAt > (leaving ? LEAVING_KEPT : this.lease)) {
-        this.drop(identity, known, now);
-        dropped = true;
+      if (now - known.lastSeenAt > (leaving ? DRAINING_RETENTION : this.lease)) {
+        this.remove(identity, known, now);
+        removedAny = true;
       }
     }
-    this.forgetRemoved(now);
-    this.forgetNames(now);
-    return dropped;
+    this.discardExpiredRemovals(now);
+    this.discardExpiredNames(now);
+    return removedAny;
   }
 
-  private forgetRemoved(now: number): void {
-    const forgotten = this.removed.filter((entry) => now - entry.at >= REMOVED_KEPT);
-    this.forgottenRevision = Math.max(this.forgottenRevision, ...forgotten.map(({ revision }) => revision));
-    this.removed = this.removed.filter((entry) => now - entry.at < REMOVED_KEPT);
+  private discardExpiredRemovals(now: number): void {
+    const discarded = this.removed.filter((entry) => now - entry.removedAt >= REMOVAL_RETENTION);
+    this.discardedRevision = Math.max(this.discardedRevision, ...discarded.map(({ revision }) => revision));
+    this.removed = this.removed.filter((entry) => now - entry.removedAt < REMOVAL_RETENTION);
   }
 
-  private forgetNames(now: number): void {
-    const held = new Set([...this.held.values()].map(({ announcement }) => announcement.name));
-    for (const [name, { at }] of this.newestStarts) {
-      if (!held.has(name) && now - at >= REMOVED_KEPT) {
-        this.newestStarts.delete(name);
+  private discardExpiredNames(now: number): void {
+    const listedNames = new Set([...this.entries.values()].map(({ announcement }) => announcement.name));
+    for (const [name, { lastSeenAt: at }] of this.newestIncarnations) {
+      if (!listedNames.has(name) && now - at >= REMOVAL_RETENTION) {
+        this.newestIncarnations.delete(name);
       }
     }
-    for (const [name, at] of this.noticed) {
-      if (now - at >= NOTICE_AWAITS) {
-        this.noticed.delete(name);
+    for (const [name, at] of this.pendingNotices) {
+      if (now - at >= PENDING_NOTICE_RETENTION) {
+        this.pendingNotices.delete(name);
       }
     }
   }
 
-  /** All records, or only those of which `wanted` says so. */
-  records(now: number, wanted: (identity: string) => boolean = () => true): readonly types.InstanceRecord[] {
-    return [...this.held.values()]
-      .filter((known) => wanted(known.announcement.identity))
+  /** Returns all records, or only those that `isIncluded` selects. */
+  records(
+    now: number,
+    isIncluded: (identity: string) => boolean = () => true,
+  ): readonly types.InstanceRecord[] {
+    return [...this.entries.values()]
+      .filter((known) => isIncluded(known.announcement.identity))
       .map((known) => ({
         ...known.announcement,
         warmUpLeft: Math.max(0, known.coldUntil - now),
-        age: now - known.heardAt,
-        firstAge: now - known.firstAt,
+        age: now - known.lastSeenAt,
+        firstAge: now - known.firstSeenAt,
         ...(known.rateLimit !== undefined && {
           rateLimit: { perSecond: known.rateLimit.perSecond, age: now - known.rateLimit.heardAt },
         }),
       }));
   }
 
-  /** What changed since a revision; everything where the reader's epoch is another one, or it is far behind. */
+  /** Returns the changes since a revision, or the complete table for another epoch or a reader too far behind. */
   newsSince(epoch: string, revision: number, now: number): types.InstanceNews {
-    const whole = epoch !== this.epoch || revision < this.forgottenRevision;
+    const isComplete = epoch !== this.epoch || revision < this.discardedRevision;
     return {
       epoch: this.epoch,
       revision: this.revision,
-      whole,
-      records: this.records(now, (identity) => whole || (this.held.get(identity)?.revision ?? 0) > revision),
+      whole: isComplete,
+      records: this.records(
+        now,
+        (identity) => isComplete || (this.entries.get(identity)?.revision ?? 0) > revision,
+      ),
       removed: this.removed.filter((entry) => entry.revision > revision).map((entry) => entry.identity),
     };
   }
--- a/packages/kumquatfront/src/instances/instanceView.ts
+++ b/packages/kumquatfront/src/instances/instanceView.ts
@@ -1,57 +1,53 @@
 /**
- * What one entry believes of the upstream instances: the merge of what each control replica tells it.
+ * The upstream instances as one entry sees them, merged from the updates of all control replicas.
  */
 import type * as backPressureTypes from '../backPressure/types.js';
 import type * as ports from '../kernel/ports.js';
 import * as announcement from './announcement.js';
 import type * as types from './types.js';
 
-/**
- * A replica that has answered this recently counts; two and a half times the longest wait for an answer,
- * so that one lost answer does not hide a replica.
- */
+/** Time without an answer after which a replica is out of contact; tolerates one lost answer. */
 const SOURCE_LEASE: ports.Milliseconds = 2_500;
 
-/** A replica that started this recently has not heard of every instance yet: two announcement intervals. */
-const SOURCE_SETTLES: ports.Milliseconds = 3_000;
+/** Time after which a started replica has received announcements of all instances: two announcement intervals. */
+const SOURCE_SETTLING_DELAY: ports.Milliseconds = 3_000;
 
 /**
- * Replicas drop a silent instance at nearly the same moment, but an entry hears of it from each at another one, up to a
- * second apart. Within this time after one has dropped it, that others still list it says nothing: told to the first,
- * which would take it back, an instance that is gone would live on by hearsay.
+ * Time within which all replicas report a removal. Until it has passed, the listings of other replicas are not reported
+ * back to a replica that removed an instance; it would add the instance again, and a crashed instance would stay listed.
  */
-const REMOVAL_SPREADS: ports.Milliseconds = 1_500;
+const REMOVAL_PROPAGATION_DELAY: ports.Milliseconds = 1_500;
 
 /**
- * Instances that said themselves that they leave are remembered this long: one that control has dropped meanwhile and
- * hears of again is listed as ready by whoever has not heard of its notice.
+ * Time for which termination notices are kept. A replica that missed the notice may list the instance as ready again
+ * after control has removed it.
  */
-const NOTICE_KEPT: ports.Milliseconds = 600_000;
+const NOTICE_RETENTION: ports.Milliseconds = 600_000;
 
-/** Why nothing is sent to an instance that could take it. */
+/** Reason given when all matching instances are in evacuated data centres. */
 export const EVACUATED = 'every upstream that could take it is in an evacuated data centre';
 
-/** What happens to an instance; `replaced` where it has started again under its name, so that nothing of it is left. */
+/** A change of an instance; `replaced` means that a newer incarnation has started under its name. */
 export type InstanceEvent = 'found' | 'leaving' | 'rateLimitTold' | 'gone' | 'replaced';
 
-/** One instance as entries use it. */
+/** One instance in the view of an entry. */
 export interface Instance extends types.Announcement {
-  /** Entry's time at which the instance was heard of for the first time. */
+  /** Time of the first announcement, by the clock of the entry. */
   readonly firstAt: number;
-  /** Entry's time at which its warm-up ends; in the past where it is warm. */
+  /** End of the warm-up by the clock of the entry; in the past if the instance is warm. */
   readonly coldUntil: number;
-  /** Its rate limit as other entries have heard it; undefined where none of them has. */
+  /** The rate limit that other entries have reported; undefined if there is none. */
   readonly rateLimit?: backPressureTypes.KnownRateLimit;
 }
 
-/** One change that an entry takes in. */
+/** One change of the view. */
 export interface InstanceChange {
   readonly instance: Instance;
   readonly event: InstanceEvent;
 }
 
-/** What one answer of a replica changed, with the revisions that tell how far it was behind. */
-export interface ViewNews {
+/** The changes from one answer of a replica, with the revisions of that replica before and after. */
+export interface ViewUpdate {
   readonly source: string;
   readonly revisionBefore: number;
   readonly revision: number;
@@ -61,56 +57,63 @@
 interface Source {
   epoch: string;
   revision: number;
-  since: number;
-  heardAt: number;
+  firstSeenAt: number;
+  lastSeenAt: number;
   readonly identities: Set<string>;
-  /** When it told that an instance is gone. */
+  /** Times at which it reported instances as removed. */
   readonly removedAt: Map<string, ports.Milliseconds>;
 }
 
-function isFreshlyRemoved(source: Source, identity: string, now: ports.Milliseconds): boolean {
+function wasRecentlyRemoved(source: Source, identity: string, now: ports.Milliseconds): boolean {
   const at = source.removedAt.get(identity);
-  return at !== undefined && now - at < REMOVAL_SPREADS;
+  return at !== undefined && now - at < REMOVAL_PROPAGATION_DELAY;
 }
 
 function createSource(epoch: string, now: ports.Milliseconds): Source {
-  return { epoch, revision: 0, since: now, heardAt: now, identities: new Set(), removedAt: new Map() };
+  return {
+    epoch,
+    revision: 0,
+    firstSeenAt: now,
+    lastSeenAt: now,
+    identities: new Set(),
+    removedAt: new Map(),
+  };
 }
 
-/** The newer of a rate limit that is known and one that a record tells. */
+/** Returns the newer of the known rate limit and the one in a record. */
 function newestRateLimit(
   known: backPressureTypes.KnownRateLimit | undefined,
-  { rateLimit: told }: types.InstanceRecord,
+  { rateLimit: reported }: types.InstanceRecord,
   now: number,
 ): backPressureTypes.KnownRateLimit | undefined {
-  const heardAt = told === undefined ? Number.NEGATIVE_INFINITY : now - told.age;
-  return known !== undefined && known.heardAt >= heardAt
+  const receivedAt = reported === undefined ? Number.NEGATIVE_INFINITY : now - reported.age;
+  return known !== undefined && known.heardAt >= receivedAt
     ? known
-    : told && { perSecond: told.perSecond, heardAt };
+    : reported && { perSecond: reported.perSecond, heardAt: receivedAt };
 }
 
-/** The view; see the module comment. */
+/** Merged view of the upstream instances; see the module comment. */
 export class InstanceView {
   private readonly sources = new Map<string, Source>();
   private readonly instances = new Map<string, Instance>();
-  /** The newest start of each name. */
-  private readonly byName = new Map<string, Instance>();
-  private byService = new Map<string, Instance[]>();
-  /** When instances said in their answers that they leave. */
-  private readonly notices = new Map<string, ports.Milliseconds>();
-  private readonly onNews: (news: ViewNews) => void;
+  /** The newest incarnation of each name. */
+  private readonly newestByName = new Map<string, Instance>();
+  private readyByService = new Map<string, Instance[]>();
+  /** Times at which instances announced their termination in a response. */
+  private readonly terminationNotices = new Map<string, ports.Milliseconds>();
+  private readonly onUpdate: (update: ViewUpdate) => void;
   private evacuated: ReadonlySet<string> = new Set();
-  /** What the answer that is being merged has changed so far. */
+  /** Changes from the update that is being merged. */
   private changes: InstanceChange[] = [];
 
   /**
-   * @param onNews - called after each answer that changed anything
+   * @param onUpdate - called after each merged update that changed anything
    */
-  constructor(onNews: (news: ViewNews) => void) {
-    this.onNews = onNews;
+  constructor(onUpdate: (update: ViewUpdate) => void) {
+    this.onUpdate = onUpdate;
   }
 
-  /** Where the news of a source should go on from. */
+  /** Returns the position from which to request the next update of a source. */
   positionOf(source: string): { readonly epoch: string; readonly revision: number } {
     const known = this.sources.get(source);
     return known === undefined
@@ -118,102 +121,102 @@
       : { epoch: known.epoch, revision: known.revision };
   }
 
-  /** Takes a source's news in. */
-  merge(sourceName: string, news: types.InstanceNews, now: number): void {
+  /** Merges an update of a source. */
+  merge(sourceName: string, update: types.InstanceNews, now: number): void {
     const known = this.sources.get(sourceName);
-    const source = known?.epoch === news.epoch ? known : createSource(news.epoch, now);
+    const source = known?.epoch === update.epoch ? known : createSource(update.epoch, now);
     this.sources.set(sourceName, source);
     const revisionBefore = source.revision;
-    source.heardAt = now;
-    source.revision = news.revision;
-    if (news.whole) {
+    source.lastSeenAt = now;
+    source.revision = update.revision;
+    if (update.whole) {
       source.identities.clear();
     }
-    for (const record of news.records) {
+    for (const record of update.records) {
       source.identities.add(record.identity);
-      this.take(record, now);
+      this.applyRecord(record, now);
     }
-    for (const identity of news.removed) {
+    for (const identity of update.removed) {
       if (source.identities.delete(identity)) {
         source.removedAt.set(identity, now);
       }
     }
     for (const [identity, at] of source.removedAt) {
-      if (now - at >= REMOVAL_SPREADS) {
+      if (now - at >= REMOVAL_PROPAGATION_DELAY) {
         source.removedAt.delete(identity);
       }
     }
-    this.dropUnheard(now);
-    this.forgetNotices(now);
+    this.removeUnlisted(now);
+    this.discardExpiredNotices(now);
     const { changes } = this;
     this.changes = [];
     if (changes.length > 0) {
-      this.onNews({ source: sourceName, revisionBefore, revision: news.revision, changes });
+      this.onUpdate({ source: sourceName, revisionBefore, revision: update.revision, changes });
     }
   }
 
-  private note(instance: Instance, event: InstanceEvent): void {
+  private recordChange(instance: Instance, event: InstanceEvent): void {
     this.changes.push({ instance, event });
   }
 
-  private take(record: types.InstanceRecord, now: number): void {
+  private applyRecord(record: types.InstanceRecord, now: number): void {
     const known = this.instances.get(record.identity);
-    const newest = this.byName.get(record.name);
+    const newest = this.newestByName.get(record.name);
     if (newest !== undefined && newest.born > record.born) {
       return;
     }
-    const hasLeft = known?.state === 'leaving' || this.notices.has(record.identity);
-    const leaving = record.state === 'leaving' || hasLeft;
+    const wasLeaving = known?.state === 'leaving' || this.terminationNotices.has(record.identity);
+    const leaving = record.state === 'leaving' || wasLeaving;
     const instance: Instance = {
-      ...announcement.of(record),
+      ...announcement.fromRecord(record),
       state: leaving ? 'leaving' : 'ready',
       firstAt: known?.firstAt ?? now - record.firstAge,
       coldUntil: Math.max(known?.coldUntil ?? 0, now + record.warmUpLeft),
       rateLimit: newestRateLimit(known?.rateLimit, record, now),
     };
     this.instances.set(record.identity, instance);
-    this.byName.set(record.name, instance);
-    this.byService.clear();
+    this.newestByName.set(record.name, instance);
+    this.readyByService.clear();
     if (newest !== undefined && newest.born < record.born) {
       this.instances.delete(newest.identity);
-      this.note(newest, 'replaced');
+      this.recordChange(newest, 'replaced');
     }
     if (known === undefined) {
-      this.note(instance, 'found');
+      this.recordChange(instance, 'found');
     }
     if (leaving && known?.state !== 'leaving') {
-      this.note(instance, 'leaving');
+      this.recordChange(instance, 'leaving');
     }
     if (instance.rateLimit?.perSecond !== known?.rateLimit?.perSecond) {
-      this.note(instance, 'rateLimitTold');
+      this.recordChange(instance, 'rateLimitTold');
     }
   }
 
   /**
-   * Drops instances that no settled source in contact lists any more. With no such source (control is down,
-   * or just started and still empty) nothing is dropped: the last view is better than none.
+   * Removes instances that no source in contact lists. Without a settled source in contact (control is down, or has just
+   * started and is still empty) nothing is removed, so that requests continue on the last known instances.
    */
-  private dropUnheard(now: number): void {
+  private removeUnlisted(now: number): void {
     const settled = [...this.sources.values()].filter(
-      (source) => now - source.heardAt < SOURCE_LEASE && now - source.since > SOURCE_SETTLES,
+      (source) => now - source.lastSeenAt < SOURCE_LEASE && now - source.firstSeenAt > SOURCE_SETTLING_DELAY,
     );
     if (settled.length === 0) {
       return;
     }
-    const inContact = [...this.sources.values()].filter((source) => now - source.heardAt < SOURCE_LEASE);
+    const inContact = [...this.sources.values()].filter((source) => now - source.lastSeenAt < SOURCE_LEASE);
     for (const instance of this.instances.values()) {
       if (!inContact.some((source) => source.identities.has(instance.identity))) {
         this.instances.delete(instance.identity);
-        this.byName.delete(instance.name);
-        this.byService.clear();
-        this.note(instance, 'gone');
+        this.newestByName.delete(instance.name);
+        this.readyByService.clear();
+        this.recordChange(instance, 'gone');
       }
     }
   }
 
   /**
-   * Instances that some replica in contact lists and the named one does not. While control is cut in halves each
-   * hears some of them only; an entry that sees both sides can tell one of the other.
+   * Returns the instances that another replica in contact lists and the named one does not. In a network partition each
+   * side of control receives only some announcements; an entry that reaches both sides forwards the missing ones.
    */
   unlistedBy(sourceName: string, now: number): readonly types.Announcement[] {
     const source = this.sources.get(sourceName);
@@ -221,13 +224,15 @@
       return [];
     }
     const others = [...this.sources.values()].filter(
-      (other) => other !== source && now - other.heardAt < SOURCE_LEASE,
+      (other) => other !== source && now - other.lastSeenAt < SOURCE_LEASE,
     );
     return [...this.instances.values()]
-      .filter(({ identity }) => !source.identities.has(identity) && !isFreshlyRemoved(source, identity, now))
+      .filter(
+        ({ identity }) => !source.identities.has(identity) && !wasRecentlyRemoved(source, identity, now),
+      )
       .filter(({ identity }) => others.some((other) => other.identities.has(identity)))
       .map((instance) => ({
-        ...announcement.of(instance),
+        ...announcement.fromRecord(instance),
         warmUpLeft: Math.max(0, instance.coldUntil - now),
       }));
   }
@@ -237,73 +242,73 @@
   }
 
   /**
-   * True where an instance has given notice. One that is not heard of any more has not: behind a cut that is said of
-   * instances that are well, and a notice is final.
+   * True if an instance has given notice of its termination. A removed instance does not count: in a network partition
+   * healthy instances are removed too, and a notice is final.
    */
   hasGivenNotice(identity: string): boolean {
     return this.instances.get(identity)?.state === 'leaving';
   }
 
   /**
-   * Takes in that an instance said itself that it leaves, before control tells of it or instead.
+   * Records the termination notice that an instance gave in a response, independently of control.
    *
-   * @returns true where that is news
+   * @returns true if the instance was ready until then
    */
   noteNotice(identity: string, now: number): boolean {
     const known = this.instances.get(identity);
-    const isNews = known?.state === 'ready';
-    this.notices.set(identity, now);
-    if (isNews) {
+    const isChanged = known?.state === 'ready';
+    this.terminationNotices.set(identity, now);
+    if (isChanged) {
       this.instances.set(identity, { ...known, state: 'leaving' });
-      this.byName.set(known.name, { ...known, state: 'leaving' });
-      this.byService.clear();
+      this.newestByName.set(known.name, { ...known, state: 'leaving' });
+      this.readyByService.clear();
     }
-    return isNews;
+    return isChanged;
   }
 
-  private forgetNotices(now: number): void {
-    for (const [identity, at] of this.notices) {
-      if (now - at >= NOTICE_KEPT) {
-        this.notices.delete(identity);
+  private discardExpiredNotices(now: number): void {
+    for (const [identity, at] of this.terminationNotices) {
+      if (now - at >= NOTICE_RETENTION) {
+        this.terminationNotices.delete(identity);
       }
     }
   }
 
-  /** Replaces the data centres whose instances are to get nothing new. */
+  /** Replaces the evacuated data centres, whose instances get no new requests. */
   setEvacuated(dataCentres: readonly string[]): void {
     this.evacuated = new Set(dataCentres);
-    this.byService.clear();
+    this.readyByService.clear();
   }
 
-  /** True where an instance is to get nothing new because its data centre is evacuated. */
+  /** True if an instance gets no new requests because its data centre is evacuated. */
   isEvacuated({ dataCentre }: types.Announcement): boolean {
     return this.evacuated.has(dataCentre);
   }
 
-  /** Why a service has no instance that takes requests. */
+  /** Returns the reason why no instance of a service takes requests. */
   whyNoneOf(service: string): string {
     const known = [...this.instances.values()].filter((instance) => instance.service === service);
-    const isHeld = known.some((instance) => instance.state === 'ready' && this.isEvacuated(instance));
-    return isHeld ? EVACUATED : 'no upstream is known';
+    const hasEvacuated = known.some((instance) => instance.state === 'ready' && this.isEvacuated(instance));
+    return hasEvacuated ? EVACUATED : 'no upstream is known';
   }
 
-  /** Instances of a service that take requests; of two at one address only the newer incarnation. */
+  /** Returns the instances of a service that take requests; of two at one address only the newer one. */
   readyOf(service: string): readonly Instance[] {
-    const cached = this.byService.get(service);
+    const cached = this.readyByService.get(service);
     if (cached !== undefined) {
       return cached;
     }
     const newest = new Map<string, Instance>();
     for (const instance of this.instances.values()) {
-      const rival = newest.get(instance.address);
-      if (rival === undefined || rival.firstAt < instance.firstAt) {
+      const incumbent = newest.get(instance.address);
+      if (incumbent === undefined || incumbent.firstAt < instance.firstAt) {
         newest.set(instance.address, instance);
       }
     }
     const ready = [...newest.values()].filter(
       (instance) => instance.service === service && instance.state === 'ready' && !this.isEvacuated(instance),
     );
-    this.byService.set(service, ready);
+    this.readyByService.set(service, ready);
     return ready;
   }
 }
--- a/packages/kumquatfront/src/instances/instances.spec.ts
+++ b/packages/kumquatfront/src/instances/instances.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Which upstream instances there are, as control hears and entries believe.
+ * Instance table of control replicas and instance view of entries.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -9,9 +9,8 @@
 
 const { announcement, createView } = instanceBench;
 
-// An announcement from before the notice arrives seconds after it. Taken at its word, the instance would get
-// new requests while it is stopping, and they would be lost with it.
-void test.test('a late announcement does not bring a leaving instance back', () => {
+// Guards against new requests to a terminating instance because of a delayed announcement.
+void test.test('a late announcement does not make a draining instance ready again', () => {
   const table = new instanceTable.InstanceTable('e');
   table.hear(announcement('i', { sequence: 4 }), 0);
   table.hear(announcement('i', { sequence: 6, state: 'leaving' }), 100);
@@ -23,7 +22,7 @@
   );
 });
 
-void test.test('a notice that names nothing but the identity makes an instance leave', () => {
+void test.test('a notice with only the identity marks an instance as draining', () => {
   const table = new instanceTable.InstanceTable('e');
   table.hear(announcement('i', { sequence: 4 }), 0);
   assert.equal(table.leave('i', 10), true);
@@ -31,16 +30,15 @@
   assert.equal(table.isLeaving('i'), true);
 });
 
-// The notice overtakes every announcement: a replica that has just started must not take the late first
-// announcement for a new instance.
-void test.test('a notice of an unknown instance keeps it out', () => {
+// Guards against a late first announcement on a replica that has just started and already received the notice.
+void test.test('a notice of an unknown instance rejects its announcements', () => {
   const table = new instanceTable.InstanceTable('e');
   table.leave('i', 10);
   assert.equal(table.hear(announcement('i', { sequence: 9 }), 20), false);
   assert.deepEqual(table.records(20), []);
 });
 
-void test.test('a silent instance expires, and comes back when it is heard of again', () => {
+void test.test('an instance without announcements expires, and is listed again after a new one', () => {
   const table = new instanceTable.InstanceTable('e', 1_000);
   table.hear(announcement('i'), 0);
   assert.equal(table.expire(900), false);
@@ -49,7 +47,7 @@
   assert.equal(table.hear(announcement('i', { sequence: 2 }), 1_200), true);
 });
 
-void test.test('news holds only what changed since, and everything for another epoch', () => {
+void test.test('an update holds only later changes, and the complete table for another epoch', () => {
   const table = new instanceTable.InstanceTable('e');
   table.hear(announcement('i'), 0);
   const { revision } = table.newsSince('', 0, 0);
@@ -58,14 +56,13 @@
     table.newsSince('e', revision, 10).records.map((record) => record.identity),
     ['j'],
   );
-  const whole = table.newsSince('other', revision, 10);
-  assert.equal(whole.whole, true);
-  assert.equal(whole.records.length, 2);
+  const complete = table.newsSince('other', revision, 10);
+  assert.equal(complete.whole, true);
+  assert.equal(complete.records.length, 2);
 });
 
-// Control is killed as a whole and starts again with nothing in memory. Entries that believed the empty lists
-// would refuse every request until the instances announce themselves.
-void test.test('an entry keeps its view while control is silent or has just started', () => {
+// Guards against refusing every request after all of control restarts with an empty table.
+void test.test('an entry keeps its view while control is unreachable or has just started', () => {
   const { view, events } = createView();
   const before = new instanceTable.InstanceTable('before');
   before.hear(announcement('i'), 0);
@@ -77,8 +74,8 @@
   assert.deepEqual(events, ['i found', 'i gone']);
 });
 
-// One replica is cut off from an instance that others still hear: the instance is sound.
-void test.test('an instance counts while any replica in contact lists it', () => {
+// Guards against removing a healthy instance that one replica cannot reach.
+void test.test('an instance is kept while any replica in contact lists it', () => {
   const { view } = createView();
   const one = new instanceTable.InstanceTable('one', 1_000);
   const two = new instanceTable.InstanceTable('two', 1_000);
@@ -93,8 +90,8 @@
   assert.equal(view.readyOf('llm').length, 1);
 });
 
-// An instance crashes and a new one takes its address. An announcement of the old one was held up by a cut and
-// arrives last; requests sent in its name would be turned away by the new one.
+// Guards against sending requests to a crashed instance whose delayed announcement arrives after that of the instance
+// that has taken its address.
 void test.test('of two instances at one address the newer incarnation takes requests', () => {
   const { view } = createView();
   const table = new instanceTable.InstanceTable('e');
@@ -108,7 +105,7 @@
   );
 });
 
-void test.test('a notice from any replica holds against older news of the others', () => {
+void test.test('a notice from any replica overrides older updates of the others', () => {
   const { view, events } = createView();
   const one = new instanceTable.InstanceTable('one');
   const two = new instanceTable.InstanceTable('two');
@@ -121,9 +118,8 @@
   assert.deepEqual(events, ['i found', 'i leaving']);
 });
 
-// Control is cut in halves, and each half hears half of the instances. The coordinator in one half would place
-// everything on its own few engines; an entry that reaches both tells it of the others.
-void test.test('an entry knows what one replica lacks and another lists', () => {
+// Guards against a coordinator that, in a network partition, places everything on the engines of its own side.
+void test.test('an entry finds the instances that one replica lacks and another lists', () => {
   const { view } = createView();
   const one = new instanceTable.InstanceTable('one');
   const two = new instanceTable.InstanceTable('two');
@@ -140,29 +136,28 @@
   assert.equal(one.records(10).length, 2);
 });
 
-void test.test('what others vouch for does not expire', () => {
+void test.test('instances that other replicas list do not expire', () => {
   const table = new instanceTable.InstanceTable('e', 1_000);
   table.hear(announcement('i'), 0);
   assert.equal(table.vouch(announcement('i'), 900), false);
   assert.equal(table.expire(1_500), false);
 });
 
-// Somewhere an instance goes every few seconds. If one that went half a minute ago made every answer a whole table, a
-// fleet of hundreds would send each entry a hundred kilobytes several times a second, for ever.
-void test.test('a reader that is up to date is told changes only, however long ago an instance went', () => {
+// Guards against sending the complete table in every answer after an instance was removed.
+void test.test('a reader that is up to date receives only changes, however long ago a removal was', () => {
   const table = new instanceTable.InstanceTable('e', 1_000);
   table.hear(announcement('gone'), 0);
   table.hear(announcement('i', { address: '10.0.0.2:80' }), 0);
   table.hear(announcement('i', { address: '10.0.0.2:80', sequence: 2 }), 40_000);
   table.expire(40_000);
   const revision = table.currentRevision;
-  const news = table.newsSince('e', revision, 75_000);
-  assert.equal(news.whole, false);
-  assert.deepEqual([news.records, news.removed], [[], []]);
+  const update = table.newsSince('e', revision, 75_000);
+  assert.equal(update.whole, false);
+  assert.deepEqual([update.records, update.removed], [[], []]);
 });
 
-// An entry comes back after minutes. Who went meanwhile is forgotten here, so only the whole table tells it.
-void test.test('a reader that missed removals which are forgotten is told everything', () => {
+// Guards against an entry that keeps removed instances after minutes without contact.
+void test.test('a reader that missed discarded removals receives the complete table', () => {
   const table = new instanceTable.InstanceTable('e', 1_000);
   table.hear(announcement('gone'), 0);
   const revision = table.currentRevision;
@@ -171,9 +166,8 @@
   assert.equal(table.newsSince('e', revision, 70_000).whole, true);
 });
 
-// An instance crashed. One replica has just dropped it, and the other will within a second. Told that the other still
-// lists it, the first would take it back, and the two would keep it alive by hearsay.
-void test.test('an instance that a replica has just dropped is not told to it again', () => {
+// Guards against two replicas that keep a crashed instance listed because each receives it from the other.
+void test.test('an instance that a replica has just removed is not reported back to it', () => {
   const { view } = createView();
   const one = new instanceTable.InstanceTable('one', 1_000);
   const two = new instanceTable.InstanceTable('two', 1_000);
@@ -190,9 +184,8 @@
   assert.equal(view.unlistedBy('one', 2_700).length, 1);
 });
 
-// Its port is closed: an entry found out, and told every replica. A heartbeat from before may still be on its way, or
-// the instance may have been there after all.
-void test.test('an instance that has ended is dropped at once, and comes back with an announcement', () => {
+// Guards against keeping a crashed instance until its lease expires, and against losing one that is still running.
+void test.test('a crashed instance is removed at once, and is listed again after an announcement', () => {
   const table = new instanceTable.InstanceTable('e');
   table.hear(instanceBench.announcement('a'), 0);
   assert.equal(table.end('a', 100), true);
@@ -201,10 +194,9 @@
   assert.equal(table.hear(instanceBench.announcement('a', { sequence: 2 }), 200), true);
 });
 
-// A data centre is cut off. Replicas and entries there hear nothing of the engines elsewhere and drop them, while streams
-// on them are still open. Taken for notices, which are final, those engines would be lost for good once the cut heals:
-// half of them stood idle until the end, and every second generation was refused.
-void test.test('an instance that is not heard of any more has given no notice', () => {
+// Guards against treating instances that were removed in a network partition as terminating: a notice is final, and
+// these engines would stay unused after the partition.
+void test.test('an instance that was removed without a notice is not terminating', () => {
   const { view } = instanceBench.createView();
   const table = new instanceTable.InstanceTable('e');
   table.hear(instanceBench.announcement('i'), 0);
--- a/packages/kumquatfront/src/instances/notices.spec.ts
+++ b/packages/kumquatfront/src/instances/notices.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Instances that say themselves that they leave, whatever control lists.
+ * Termination notices that instances give in their responses, independently of control.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -7,7 +7,7 @@
 import * as instanceBench from './instanceBench.js';
 import type * as types from './types.js';
 
-function newsOf(
+function updateOf(
   epoch: string,
   records: readonly string[],
   removed: readonly string[] = [],
@@ -25,9 +25,9 @@
   };
 }
 
-void test.test('an instance that has said that it leaves takes no requests any more', () => {
+void test.test('an instance that has given notice takes no more requests', () => {
   const { view } = instanceBench.createView();
-  view.merge('c1', newsOf('e', ['a', 'b']), 0);
+  view.merge('c1', updateOf('e', ['a', 'b']), 0);
   assert.equal(view.noteNotice('a', 10), true);
   assert.equal(view.noteNotice('a', 20), false);
   assert.equal(view.hasGivenNotice('a'), true);
@@ -37,13 +37,13 @@
   );
 });
 
-// Control has dropped it and hears a late announcement from before its notice.
-void test.test('an instance that has said that it leaves stays so when control lists it again', () => {
+// Guards against a late announcement from before the notice that reaches control after it has removed the instance.
+void test.test('an instance that has given notice stays terminating when control lists it again', () => {
   const { view } = instanceBench.createView();
-  view.merge('c1', newsOf('e', ['a', 'b']), 0);
+  view.merge('c1', updateOf('e', ['a', 'b']), 0);
   view.noteNotice('a', 10);
-  view.merge('c1', newsOf('e', ['b'], ['a']), 5_000);
+  view.merge('c1', updateOf('e', ['b'], ['a']), 5_000);
   assert.equal(view.get('a'), undefined);
-  view.merge('c1', newsOf('e', ['a', 'b']), 5_500);
+  view.merge('c1', updateOf('e', ['a', 'b']), 5_500);
   assert.equal(view.hasGivenNotice('a'), true);
 });
--- a/packages/kumquatfront/src/instances/restart.spec.ts
+++ b/packages/kumquatfront/src/instances/restart.spec.ts
@@ -1,5 +1,5 @@
 /**
- * An instance that starts again under its name, and announcements that somebody else wrote.
+ * Restarts of an instance under the same name, and conflicting announcements from other processes.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -20,9 +20,9 @@
   return table.records(now).map((record) => `${record.identity} ${record.state}`);
 }
 
-// The instance crashes at its 40th announcement and counts from 1 again. Taken for the same it would look late, get
-// no request until its count passed 40, and stay marked as leaving if the earlier one was.
-void test.test('a newer start takes the place of the older one, whatever its count', () => {
+// Guards against ignoring the announcements of a restarted instance, whose sequence begins at 1 again, and against
+// keeping it marked as draining.
+void test.test('a newer incarnation replaces the older one, whatever its sequence', () => {
   const table = new instanceTable.InstanceTable('e');
   table.hear(announcement(FIRST_START, { sequence: 40, state: 'leaving' }), 0);
   assert.equal(table.hear(announcement(SECOND_START), 1_000), true);
@@ -30,8 +30,8 @@
   assert.deepEqual(table.newsSince('e', 2, 1_000).removed, ['i@1000']);
 });
 
-// An announcement of the older start was held up by a cut and comes last; so does its notice.
-void test.test('late news of an older start changes nothing', () => {
+// Guards against a delayed announcement or notice of an older incarnation.
+void test.test('late announcements and notices of an older incarnation change nothing', () => {
   const table = new instanceTable.InstanceTable('e');
   table.hear(announcement(FIRST_START, { sequence: 40 }), 0);
   table.hear(announcement(SECOND_START), 1_000);
@@ -41,9 +41,8 @@
   assert.deepEqual(statesOf(table, 1_700), ['i@2000 ready']);
 });
 
-// This replica never heard of the older start; its announcement comes after that of the newer one, and again after
-// the newer one has fallen silent.
-void test.test('an older start stays out where it is heard of second, or after the newer one is gone', () => {
+// Guards against listing an older incarnation that this replica did not know before the newer one.
+void test.test('an older incarnation is rejected after a newer one, also once that has expired', () => {
   const table = new instanceTable.InstanceTable('e', 1_000);
   table.hear(announcement(SECOND_START), 0);
   assert.equal(table.hear(announcement(FIRST_START, { sequence: 40 }), 100), false);
@@ -52,22 +51,19 @@
   assert.equal(table.hear(announcement(FIRST_START, { sequence: 41 }), 1_300), false);
 });
 
-void test.test(
-  'a notice without a start means the newest one; one of a start that is not known keeps that out',
-  () => {
-    const table = new instanceTable.InstanceTable('e');
-    table.hear(announcement(SECOND_START), 0);
-    assert.equal(table.leaveByName('i', undefined, 10), 'i@2000');
-    assert.deepEqual(statesOf(table, 10), ['i@2000 leaving']);
-    assert.equal(table.hear(announcement(SECOND_START, { sequence: 9 }), 20), false);
-    assert.equal(table.hear(announcement(SECOND_START + 1), 30), true);
-    assert.deepEqual(statesOf(table, 30), ['i@2001 ready']);
-  },
-);
+void test.test('a notice without a start time applies to the newest known incarnation only', () => {
+  const table = new instanceTable.InstanceTable('e');
+  table.hear(announcement(SECOND_START), 0);
+  assert.equal(table.leaveByName('i', undefined, 10), 'i@2000');
+  assert.deepEqual(statesOf(table, 10), ['i@2000 leaving']);
+  assert.equal(table.hear(announcement(SECOND_START, { sequence: 9 }), 20), false);
+  assert.equal(table.hear(announcement(SECOND_START + 1), 30), true);
+  assert.deepEqual(statesOf(table, 30), ['i@2001 ready']);
+});
 
-// The notice overtakes every announcement, and does not say which start it is of.
+// Guards against a notice that arrives before every announcement and does not name the incarnation.
 void test.test(
-  'a notice of an unknown name keeps out what is heard right after it, and no later start',
+  'a notice of an unknown name rejects announcements right after it, but no later incarnation',
   () => {
     const table = new instanceTable.InstanceTable('e');
     table.leaveByName('i', undefined, 0);
@@ -77,8 +73,7 @@
   },
 );
 
-// An instance that does not tell its start, and then somebody who writes as if it had none.
-void test.test('an announcement without a start is older than any with one', () => {
+void test.test('an announcement without a start time is older than any with one', () => {
   const table = new instanceTable.InstanceTable('e');
   table.hear(announcement(0, { sequence: 5 }), 0);
   assert.equal(table.hear(announcement(FIRST_START), 10), true);
@@ -86,8 +81,8 @@
   assert.deepEqual(statesOf(table, 20), ['i@1000 ready']);
 });
 
-// Requests for the service would go to an address that is somebody else's.
-void test.test('an announcement that gives a known start another address or service is left out', () => {
+// Guards against sending requests to the address of another process.
+void test.test('an announcement that changes the address or service of an incarnation is ignored', () => {
   const table = new instanceTable.InstanceTable('e');
   table.hear(announcement(FIRST_START), 0);
   table.hear(announcement(FIRST_START, { sequence: 2, address: '10.0.0.9:80' }), 10);
@@ -96,8 +91,8 @@
   assert.equal(table.records(20)[0]?.service, 'llm');
 });
 
-// One replica has heard of the newer start; the other still lists the older one, and tells of it last.
-void test.test('an entry replaces the older start, in whichever order replicas tell', () => {
+// Guards against a replica that still lists the older incarnation and reports last.
+void test.test('an entry replaces the older incarnation, in whichever order replicas report', () => {
   const newer = new instanceTable.InstanceTable('newer');
   const older = new instanceTable.InstanceTable('older');
   newer.hear(announcement(SECOND_START), 0);
@@ -106,11 +101,11 @@
   inOrder.view.merge('older', older.newsSince('', 0, 0), 0);
   inOrder.view.merge('newer', newer.newsSince('', 0, 0), 0);
   assert.deepEqual(inOrder.events, ['i@1000 found', 'i@1000 replaced', 'i@2000 found']);
-  const turnedRound = instanceBench.createView();
-  turnedRound.view.merge('newer', newer.newsSince('', 0, 0), 0);
-  turnedRound.view.merge('older', older.newsSince('', 0, 0), 0);
-  assert.deepEqual(turnedRound.events, ['i@2000 found']);
-  for (const { view } of [inOrder, turnedRound]) {
+  const reversed = instanceBench.createView();
+  reversed.view.merge('newer', newer.newsSince('', 0, 0), 0);
+  reversed.view.merge('older', older.newsSince('', 0, 0), 0);
+  assert.deepEqual(reversed.events, ['i@2000 found']);
+  for (const { view } of [inOrder, reversed]) {
     assert.deepEqual(
       view.readyOf('llm').map(({ identity, name }) => [identity, name]),
       [['i@2000', 'i']],
--- a/packages/kumquatfront/src/instances/types.ts
+++ b/packages/kumquatfront/src/instances/types.ts
@@ -1,18 +1,18 @@
 /**
- * Upstream instances as they announce themselves, and the news of them between processes. Times are
+ * Upstream instances as they announce themselves, and the messages that carry them between processes. Times are in
  * milliseconds.
  */
 
-/** `leaving` takes no new requests; an instance never comes back from it. */
+/** A `leaving` instance is draining and takes no new requests. The state is final for an incarnation. */
 export type InstanceState = 'ready' | 'leaving';
 
-/** What an instance says of itself. */
+/** The attributes that an instance announces. */
 export interface Announcement {
-  /** New at each start of the instance: its name together with the moment of its start. */
+  /** Identifies one incarnation: the name of the instance together with its start time. */
   readonly identity: string;
-  /** What the instance calls itself; the same again after a restart. */
+  /** Stable across restarts. */
   readonly name: string;
-  /** When it started, in Unix milliseconds by its own clock; 0 where it does not say. Orders starts of one name. */
+  /** Start time in Unix milliseconds by the clock of the instance, 0 if unknown. Orders incarnations of one name. */
   readonly born: number;
   readonly service: string;
   /** `ip:port` */
@@ -20,38 +20,38 @@
   readonly dataCentre: string;
   readonly slots: number;
   readonly state: InstanceState;
-  /** How much longer the instance is cold: it tolerates few requests, and falls over under many. 0 where it is warm. */
+  /** Remaining time for which the instance is cold and can crash under many requests; 0 if it is warm. */
   readonly warmUpLeft: number;
-  /** Goes up with each announcement, so that a late one can be told. */
+  /** Increases with each announcement, so that delayed announcements are detected. */
   readonly sequence: number;
 }
 
-/** A rate limit that an instance names in its answers, as it goes between processes. */
-export interface ToldRateLimit {
-  /** Requests a second from all senders together; absent where it named a limit before and does not any more. */
+/** A rate limit that an instance stated in a response, as it is sent between processes. */
+export interface ReportedRateLimit {
+  /** Requests per second from all senders together; absent once the instance no longer states a limit. */
   readonly perSecond?: number;
-  /** Time since it was heard. */
+  /** Time since it was received. */
   readonly age: number;
 }
 
-/** One record as it goes between processes. */
+/** One instance as it is sent between processes. */
 export interface InstanceRecord extends Announcement {
-  /** Time since the instance was heard of. */
+  /** Time since the last announcement of the instance. */
   readonly age: number;
-  /** Time since the instance was heard of for the first time. */
+  /** Time since the first announcement of the instance. */
   readonly firstAge: number;
-  /** Its rate limit as entries have heard it; absent where none has. */
-  readonly rateLimit?: ToldRateLimit;
+  /** The rate limit that entries have reported; absent if there is none. */
+  readonly rateLimit?: ReportedRateLimit;
 }
 
-/** News since a revision of one publisher. */
+/** Changes since a revision of one publisher. */
 export interface InstanceNews {
-  /** New at each start of the publisher: revisions of another epoch say nothing. */
+  /** Unique for each start of the publisher; revisions of different epochs are not comparable. */
   readonly epoch: string;
   readonly revision: number;
-  /** True where the records are all that there are; instances that are missing are gone. */
+  /** True if `records` is the complete list: instances that are not in it have been removed. */
   readonly whole: boolean;
   readonly records: readonly InstanceRecord[];
-  /** Identities that are gone since the revision asked for. */
+  /** Identities removed since the requested revision. */
   readonly removed: readonly string[];
 }
--- a/packages/kumquatfront/src/instances/warmUp.spec.ts
+++ b/packages/kumquatfront/src/instances/warmUp.spec.ts
@@ -1,5 +1,5 @@
 /**
- * How it becomes known that an instance is cold: by its start, again later, or because it may be.
+ * Warm-ups of instances: announced at the start, announced again later, or assumed.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -20,38 +20,43 @@
   return view.get('i')?.coldUntil;
 }
 
-void test.test('what is left of a warm-up runs on while news of it waits', () => {
+void test.test('the remaining warm-up time elapses while an update is delayed', () => {
   assert.equal(coldUntil(tableWith(1_000), 400), 1_000);
 });
 
-// An instance is warm, and its caches are dropped. It says so with its next announcement: entries must hear of it as
-// soon as of a notice, not with the next change of something else.
-void test.test('an instance that becomes cold again is news, the same warm-up told again is none', () => {
-  const table = tableWith(0);
-  const { revision } = table.newsSince('e', 0, 0);
-  assert.equal(table.hear(instanceBench.announcement('i', { warmUpLeft: 3_000, sequence: 2 }), 1_200), true);
-  assert.ok(table.noticeRevision > revision);
-  assert.equal(table.hear(instanceBench.announcement('i', { warmUpLeft: 1_850, sequence: 3 }), 2_400), false);
-  assert.equal(coldUntil(table, 2_400), 4_250);
-});
-
+// Guards against informing entries of a new warm-up only with the next unrelated change.
 void test.test(
-  'instances of a data centre that may be cold count as cold until they can have warmed up',
+  'a new warm-up is an immediate change, a repeated announcement of the same one is none',
   () => {
     const table = tableWith(0);
-    table.hear(instanceBench.announcement('other', { dataCentre: 'b', address: '10.0.0.2:80' }), 0);
+    const { revision } = table.newsSince('e', 0, 0);
     assert.equal(
-      table.assumeCold('a', (service) => (service === 'llm' ? 1_000 : 0), 500),
+      table.hear(instanceBench.announcement('i', { warmUpLeft: 3_000, sequence: 2 }), 1_200),
       true,
     );
-    // An announcement that was on its way, from before it became cold.
-    table.hear(instanceBench.announcement('i', { warmUpLeft: 0, sequence: 2 }), 600);
-    assert.equal(coldUntil(table, 600), 1_500);
-    const left = table.records(600).map(({ identity, warmUpLeft }) => `${identity} ${warmUpLeft}`);
-    assert.deepEqual(left, ['i 900', 'other 0']);
+    assert.ok(table.noticeRevision > revision);
     assert.equal(
-      table.assumeCold('a', () => 0, 700),
+      table.hear(instanceBench.announcement('i', { warmUpLeft: 1_850, sequence: 3 }), 2_400),
       false,
     );
+    assert.equal(coldUntil(table, 2_400), 4_250);
   },
 );
+
+void test.test('instances of a data centre that are assumed cold stay cold for the warm-up time', () => {
+  const table = tableWith(0);
+  table.hear(instanceBench.announcement('other', { dataCentre: 'b', address: '10.0.0.2:80' }), 0);
+  assert.equal(
+    table.assumeCold('a', (service) => (service === 'llm' ? 1_000 : 0), 500),
+    true,
+  );
+  // A delayed announcement from before the instance became cold.
+  table.hear(instanceBench.announcement('i', { warmUpLeft: 0, sequence: 2 }), 600);
+  assert.equal(coldUntil(table, 600), 1_500);
+  const left = table.records(600).map(({ identity, warmUpLeft }) => `${identity} ${warmUpLeft}`);
+  assert.deepEqual(left, ['i 900', 'other 0']);
+  assert.equal(
+    table.assumeCold('a', () => 0, 700),
+    false,
+  );
+});
--- a/packages/scenarios/src/scripts/backPressureSafeguards.ts
+++ b/packages/scenarios/src/scripts/backPressureSafeguards.ts
@@ -29,7 +29,7 @@
   {
     name: 'an upstream that left does not come back by hearsay',
     file: 'instances/instanceView.js',
-    find: ' || this.notices.has(record.identity)',
+    find: ' || this.terminationNotices.has(record.identity)',
     replace: '',
     scenario: 'spec:instances/notices',
   },
--- a/packages/scenarios/src/scripts/quarantineSafeguards.ts
+++ b/packages/scenarios/src/scripts/quarantineSafeguards.ts
@@ -133,8 +133,8 @@
   {
     name: 'entries of the own interface tell each other',
     file: 'directory/directory.js',
-    find: 'this.push([this.store.publish(name, incarnation, keyOf(value), value, this.now())]);\n    }\n    /** Takes news',
-    replace: '}\n    /** Takes news',
+    find: 'this.push([this.store.publish(name, incarnation, keyOf(value), value, this.now())]);\n    }\n    /** Applies an update',
+    replace: '}\n    /** Applies an update',
     scenario: 'stream-ends-its-engines',
   },
 ];
--- a/packages/scenarios/src/scripts/relaySafeguards.ts
+++ b/packages/scenarios/src/scripts/relaySafeguards.ts
@@ -93,8 +93,8 @@
   {
     name: 'the newer incarnation has its address',
     file: 'instances/instanceView.js',
-    find: 'rival === undefined || rival.firstAt < instance.firstAt',
-    replace: 'rival === undefined',
+    find: 'incumbent === undefined || incumbent.firstAt < instance.firstAt',
+    replace: 'incumbent === undefined',
     scenario: INSTANCES,
   },
   {
@@ -121,14 +121,14 @@
   {
     name: 'a notice of an unknown name keeps out what is heard next',
     file: 'instances/instanceTable.js',
-    find: 'if (this.isNoticed(announcement.name, now)) {',
+    find: 'if (this.hasPendingNotice(announcement.name, now)) {',
     replace: 'if (false) {',
     scenario: RESTART,
   },
   {
     name: 'an announcement from elsewhere does not move an instance',
     file: 'instances/instanceTable.js',
-    find: 'if (announcements.isForeign(known.announcement, announcement)) {',
+    find: 'if (announcements.isConflicting(known.announcement, announcement)) {',
     replace: 'if (false) {',
     scenario: RESTART,
   },
@@ -296,14 +296,14 @@
   {
     name: 'what a replica has dropped is not told to it at once',
     file: 'instances/instanceView.js',
-    find: '&& !isFreshlyRemoved(source, identity, now)',
+    find: '&& !wasRecentlyRemoved(source, identity, now)',
     replace: '',
     scenario: 'spec:instances/instances',
   },
   {
     name: 'a reader that missed forgotten removals gets the whole table',
     file: 'instances/instanceTable.js',
-    find: '|| revision < this.forgottenRevision',
+    find: '|| revision < this.discardedRevision',
     replace: '',
     scenario: 'spec:instances/instances',
   },
--- a/packages/scenarios/src/scripts/servingSafeguards.ts
+++ b/packages/scenarios/src/scripts/servingSafeguards.ts
@@ -87,7 +87,7 @@
   {
     name: 'a leaving upstream is pushed to every entry at once',
     file: 'directory/directory.js',
-    find: 'if (leaves) {',
+    find: 'if (isDraining) {',
     replace: 'if (false) {',
     scenario: 'upstream-leaves',
   },
@@ -193,14 +193,14 @@
   {
     name: 'leaving is never undone',
     file: 'directory/upstreamTable.js',
-    find: '(sameLife && known?.leaving === true)',
+    find: '(sameIncarnation && known?.leaving === true)',
     replace: 'false',
     scenario: 'spec:directory/upstreamTable',
   },
   {
     name: 'a gap empties what is known of a cache',
     file: 'directory/upstreamTable.js',
-    find: 'if (event.sequence !== view.sequence + 1) {',
+    find: 'if (event.sequence !== state.sequence + 1) {',
     replace: 'if (false) {',
     scenario: 'spec:directory/upstreamTable',
   },
