--- a/packages/kumquatfront/src/entryNode/entryNode.ts
+++ b/packages/kumquatfront/src/entryNode/entryNode.ts
@@ -1,6 +1,6 @@
 /**
- * An entry: takes requests of callers and news of upstreams, and places, relays and refuses. All outside
- * comes through ports, so the whole node runs on virtual time as it does on a VM.
+ * Composition root of an entry: accepts caller requests and upstream updates, and places, relays or refuses requests.
+ * All input and output goes through ports, so that the node runs on virtual time as well as on a VM.
  */
 import * as fairQueue from '../admission/fairQueue.js';
 import * as coordinatedPlacement from '../admission/coordinatedPlacement.js';
@@ -23,12 +23,12 @@
 import * as retryBudget from '../routing/retryBudget.js';
 import type * as routing from '../routing/types.js';
 import * as trafficResolver from '../selectors/trafficResolver.js';
-import * as requestFront from './requestFront.js';
+import * as requestHandler from './requestHandler.js';
 import * as rendezvous from '../utils/rendezvous.js';
 import type * as types from './types.js';
-import * as watchedPlacement from './watchedPlacement.js';
+import * as guardedPlacement from './guardedPlacement.js';
 
-/** Services of an entry, by name. */
+/** Services of an entry, by the name under which they are registered. */
 export interface EntryServices {
   readonly timers: timerService.TimerService;
   readonly directory: directory.Directory;
@@ -41,29 +41,33 @@
   readonly claims: claimClient.ClaimClient;
   readonly burn: burnRecorder.BurnRecorder;
   readonly quarantine: quarantine.Quarantine;
-  readonly requests: requestFront.RequestFront;
+  readonly requests: requestHandler.RequestHandler;
 }
 
-/** Makes the serving policy of an entry; pass another to replace it. */
+/** Factory of the placement policy of an entry. */
 export type CreatePlacement = (
   options: coordinatedPlacement.CoordinatedPlacementOptions,
 ) => routing.PlacementPolicy;
 
-/** What an entry offers to the adapters around it. */
+/** Interface of an entry to the adapters, such as its HTTP server. */
 export interface EntryNode {
   readonly services: serviceRegistry.ServiceRegistry<EntryServices>;
-  readonly requests: requestFront.RequestFront;
-  /** Takes news that an upstream posted. */
+  readonly requests: requestHandler.RequestHandler;
+  /** Applies an announcement, load report or cache event that an upstream posted. */
   takeNews(news: directoryTypes.UpstreamNews): void;
-  /** Addresses for a caller, preferred first. */
+  /** Entry addresses to give to callers, in order of preference. */
   addresses(): readonly addressList.EntryAddress[];
+  /** Current state of this entry, as published in the directory. */
   presence(): directoryTypes.EntryPresence;
-  /** Leaves the address list, waits until cached lists have expired and requests have ended, then calls back. */
+  /**
+   * Withdraws the entry from the address list, waits until cached lists have expired and in-flight requests have
+   * finished, then calls `done`.
+   */
   drain(done: () => void): void;
   stop(): void;
 }
 
-const DEFAULT_BOUNDS: fairQueue.QueueBounds = { perAccount: 200, total: 1_000 };
+const DEFAULT_QUEUE_BOUNDS: fairQueue.QueueBounds = { perAccount: 200, total: 1_000 };
 const DEFAULT_RETRY_PERCENT = 20;
 const CONTROL_ATTEMPT_TIMEOUT = 500;
 const DRAIN_CHECK_INTERVAL = 100;
@@ -72,13 +76,13 @@
  * Creates an entry.
  *
  * @param settings - the entry's settings
- * @param ports - everything outside
- * @param createPlacement - the serving policy; placement by the entries together where absent
- * @returns the entry, running
+ * @param ports - connections to the environment
+ * @param createPlacement - creates the placement policy; defaults to placement coordinated among the entries
+ * @returns the running entry
  * @example
  * ```ts
  * const entry = entryNode.create(settings, ports);
- * entry.takeNews({ type: 'announce', announcement });
+ * entry.applyUpdate({ type: 'announce', announcement });
  * ```
  */
 export function create(
@@ -97,18 +101,18 @@
     dataCentre: settings.dataCentre,
     callerAddress: settings.callerAddress,
     peerAddress: settings.peerAddress,
-    state: stateNow(),
+    state: currentState(),
     inFlight: requests.inFlight,
     configurationVersion: configuration.inForce,
   });
-  const stateNow = (): directoryTypes.EntryPresence['state'] => {
+  const currentState = (): directoryTypes.EntryPresence['state'] => {
     if (draining) {
       return 'draining';
     }
     return configuration.isReady() && configuration.isFresh() ? 'serving' : 'stale';
   };
 
-  const known = new directory.Directory({
+  const entryDirectory = new directory.Directory({
     name: settings.name,
     peerAddress: settings.peerAddress,
     incarnation: clock.wall(),
@@ -120,8 +124,8 @@
     log,
     presence,
   });
-  services.register('directory', known);
-  services.register('quarantine', quarantineOver(known, settings, ports, timers));
+  services.register('directory', entryDirectory);
+  services.register('quarantine', createQuarantine(entryDirectory, settings, ports, timers));
 
   const control = new controlClient.ControlClient({
     addresses: settings.control,
@@ -137,11 +141,11 @@
     random,
     log,
     presence,
-    entries: () => known.entries(),
+    entries: () => entryDirectory.entries(),
     onEvacuations: ({ dataCentres, revision }) => {
-      const names = dataCentres.map((held) => held.dataCentre);
-      log.info('evacuationsInForce', { dataCentres: names.join(' '), revision });
-      known.table.setEvacuated(names);
+      const dataCentreNames = dataCentres.map((evacuated) => evacuated.dataCentre);
+      log.info('evacuationsInForce', { dataCentres: dataCentreNames.join(' '), revision });
+      entryDirectory.table.setEvacuated(dataCentreNames);
     },
   });
   services.register('configuration', configuration);
@@ -161,7 +165,7 @@
   services.register(
     'placement',
     createPlacement({
-      directory: known,
+      directory: entryDirectory,
       estimator: services.find('estimates'),
       health: services.find('health'),
       timers,
@@ -169,7 +173,7 @@
       metrics,
       choose: choice.chooseOfTwo,
       headroom: settings.headroom,
-      bounds: () => boundsOf(configuration),
+      bounds: () => queueBoundsOf(configuration),
       weightOf: (account) => resolver.weightOf(account),
       upstreamWait: settings.upstreamWait,
       name: settings.name,
@@ -178,10 +182,10 @@
       coordination: settings.coordination,
     }),
   );
-  const requests = new requestFront.RequestFront({ settings, ports, services });
+  const requests = new requestHandler.RequestHandler({ settings, ports, services });
   services.register('requests', requests);
 
-  entryOrderPort.serve(peers, known.table, ports.orders);
+  entryOrderPort.serve(peers, entryDirectory.table, ports.orders);
   peers.serve(methods.methods.entryBurn, (_parameters, reply) => {
     reply(results.Ok(burn.toJson()));
   });
@@ -194,16 +198,16 @@
     services,
     requests,
     takeNews: (news) => {
-      known.takeNews(news);
+      entryDirectory.takeNews(news);
     },
-    addresses: () => addressList.order(known.entries(), settings.dataCentre, random),
+    addresses: () => addressList.order(entryDirectory.entries(), settings.dataCentre, random),
     presence,
     drain: (done) => {
       draining = true;
       log.info('drainStarted', { inFlight: requests.inFlight });
-      known.announcePresence();
-      // Callers may hold a list that still names this entry; it goes on accepting until the last such list
-      // has expired, or they would meet a closed door.
+      entryDirectory.announcePresence();
+      // Callers may have cached a list that still names this entry. Keep accepting requests until every such list has
+      // expired; otherwise their connections would be refused.
       timers.after(settings.addressLife, () => {
         const cancel = timers.every(
           () => DRAIN_CHECK_INTERVAL,
@@ -223,50 +227,58 @@
   };
 }
 
-/** Quarantine among entries: what one of them finds out is pushed to all, and kept in what they tell newcomers. */
-function quarantineOver(
-  known: directory.Directory,
+/**
+ * Creates a quarantine that shares its crash records among the entries: the directory pushes each record to all entries
+ * and includes it in the state that an entry receives when it joins.
+ */
+function createQuarantine(
+  entryDirectory: directory.Directory,
   settings: types.EntrySettings,
   ports: types.EntryPorts,
   timers: timerService.TimerService,
 ): quarantine.Quarantine {
   const { log, metrics, checkUpstream } = ports;
-  const publish = (content: string): void => {
-    const record = held.caseOf(content);
+  const publishRecord = (content: string): void => {
+    const record = contentQuarantine.caseOf(content);
     if (record !== undefined) {
-      known.publishCase(record);
+      entryDirectory.publishCase(record);
     }
   };
-  const held: quarantine.Quarantine = new quarantine.Quarantine({
+  const contentQuarantine: quarantine.Quarantine = new quarantine.Quarantine({
     timers,
     log,
     metrics,
     check: checkUpstream,
     hasGivenNotice: (identity) =>
-      known.table.all().some((record) => record.leaving && watchedPlacement.identityOf(record) === identity),
-    tell: publish,
-    // Health and lease keep requests off it: directories of entries have no word for an end yet.
+      entryDirectory.table
+        .all()
+        .some((record) => record.leaving && guardedPlacement.identityOf(record) === identity),
+    tell: publishRecord,
+    // The directory has no update for a crash; outlier detection and lease expiry exclude the upstream.
     onEnded: () => undefined,
   });
-  known.onCase((record) => {
-    held.take([record]);
+  entryDirectory.onCase((record) => {
+    contentQuarantine.take([record]);
   });
-  // Publications end long before a quarantine does; one entry for each content repeats it for those that start.
+  // Published records expire long before a quarantine does, so one entry per content republishes its record for
+  // entries that join later.
   timers.every(
     () => settings.directory.keepFor / 3,
     () => {
-      const names = known.entries().map(({ name }) => name);
-      const own = held.quarantined.filter((content) => rendezvous.pick(content, names) === settings.name);
-      own.forEach(publish);
+      const entryNames = entryDirectory.entries().map(({ name }) => name);
+      const assigned = contentQuarantine.quarantined.filter(
+        (content) => rendezvous.pick(content, entryNames) === settings.name,
+      );
+      assigned.forEach(publishRecord);
     },
   );
-  return held;
+  return contentQuarantine;
 }
 
-function boundsOf(configuration: configurationReplica.ConfigurationReplica): fairQueue.QueueBounds {
+function queueBoundsOf(configuration: configurationReplica.ConfigurationReplica): fairQueue.QueueBounds {
   const limits = configuration.find('limits', 'default');
   return {
-    perAccount: limits?.queuePerAccount ?? DEFAULT_BOUNDS.perAccount,
-    total: limits?.queueTotal ?? DEFAULT_BOUNDS.total,
+    perAccount: limits?.queuePerAccount ?? DEFAULT_QUEUE_BOUNDS.perAccount,
+    total: limits?.queueTotal ?? DEFAULT_QUEUE_BOUNDS.total,
   };
 }
--- a/packages/kumquatfront/src/entryNode/watchedPlacement.ts
+++ b/packages/kumquatfront/src/entryNode/guardedPlacement.ts
@@ -1,6 +1,6 @@
 /**
- * Places of one request of the product's own interface, behind the gate that keeps contents under which upstreams end
- * away from them, with word to the detector of how each run ended.
+ * Placement of one request with quarantine: refuses content that crashes upstreams, and reports the start and outcome of
+ * each run to the crash detector.
  */
 import type * as upstreamTable from '../directory/upstreamTable.js';
 import type * as ports from '../kernel/ports.js';
@@ -9,8 +9,8 @@
 import type * as routing from '../routing/types.js';
 import type * as generationRelay from '../streams/generationRelay.js';
 
-/** What it is made from. */
-export interface WatchedPlacementOptions {
+/** Dependencies of a guarded placement. */
+export interface GuardedPlacementOptions {
   readonly request: Omit<routing.PlacementRequest, 'exclude'>;
   readonly content: string;
   readonly placement: routing.PlacementPolicy;
@@ -21,13 +21,13 @@
 type PlacementDone = (placement: routing.Placement) => void;
 
 /**
- * Identity of an upstream's present life.
+ * Identity of the current incarnation of an upstream.
  *
- * @param upstream - its record
+ * @param upstream - record of the upstream
  * @returns name and incarnation
  * @example
  * ```ts
- * watchedPlacement.identityOf(record); // 'engine-3#1700000000000'
+ * guardedPlacement.identityOf(record); // 'engine-3#1700000000000'
  * ```
  */
 export function identityOf(upstream: upstreamTable.UpstreamRecord): string {
@@ -35,14 +35,14 @@
   return `${name}#${incarnation}`;
 }
 
-/** The places of one request; see the module comment. */
-export class WatchedPlacement {
-  private readonly options: WatchedPlacementOptions;
-  private running: { readonly instance: crashDetector.CheckedInstance; readonly run: number } | undefined;
+/** The placements of one request; see the module comment. */
+export class GuardedPlacement {
+  private readonly options: GuardedPlacementOptions;
+  private currentRun: { readonly instance: crashDetector.CheckedInstance; readonly run: number } | undefined;
   private isChecking = false;
-  private waiting: (() => void) | undefined;
+  private deferredRequest: (() => void) | undefined;
 
-  constructor(options: WatchedPlacementOptions) {
+  constructor(options: GuardedPlacementOptions) {
     this.options = options;
   }
 
@@ -50,27 +50,27 @@
     return this.options.quarantine.verdictOf(this.options.content);
   }
 
-  /** Asks for a place, as the placement policy does. */
-  place(exclude: ReadonlySet<string>, done: PlacementDone): ports.Cancel {
+  /** Requests an upstream from the placement policy, unless the content is quarantined. */
+  requestPlacement(exclude: ReadonlySet<string>, done: PlacementDone): ports.Cancel {
     let cancel: ports.Cancel = () => {
-      this.waiting = undefined;
+      this.deferredRequest = undefined;
     };
-    const ask = (): void => {
-      cancel = this.ask(exclude, done);
+    const sendRequest = (): void => {
+      cancel = this.placeUnlessQuarantined(exclude, done);
     };
-    // The last upstream may just have ended under a content that is suspected already: whether it did is known in a
-    // moment, and one more may end otherwise.
+    // While the previous upstream is being checked for a crash, a suspect content waits for the result; placed at once,
+    // it might crash another upstream.
     if (this.isChecking && this.verdict !== 'free') {
-      this.waiting = ask;
+      this.deferredRequest = sendRequest;
     } else {
-      ask();
+      sendRequest();
     }
     return () => {
       cancel();
     };
   }
 
-  private ask(exclude: ReadonlySet<string>, done: PlacementDone): ports.Cancel {
+  private placeUnlessQuarantined(exclude: ReadonlySet<string>, done: PlacementDone): ports.Cancel {
     const { placement, request } = this.options;
     if (this.verdict === 'quarantined') {
       this.refuse(done);
@@ -82,7 +82,7 @@
   }
 
   private onAnswer(answer: routing.Placement, done: PlacementDone): void {
-    const { placement, request, content, quarantine: held } = this.options;
+    const { placement, request, content, quarantine: contentQuarantine } = this.options;
     if (answer.type === 'refused') {
       done(answer);
     } else if (this.verdict === 'quarantined') {
@@ -91,43 +91,46 @@
     } else {
       const { address } = answer.upstream.announcement;
       const instance = { identity: identityOf(answer.upstream), address };
-      this.running = { instance, run: held.detector.begun(instance.identity, content, request.requestId) };
+      this.currentRun = {
+        instance,
+        run: contentQuarantine.detector.begun(instance.identity, content, request.requestId),
+      };
       done(answer);
     }
   }
 
   private refuse(done: PlacementDone): void {
-    const { request, content, quarantine: held, log } = this.options;
-    log.info('requestQuarantined', { request: request.requestId, ...held.describe(content) });
+    const { request, content, quarantine: contentQuarantine, log } = this.options;
+    log.info('requestQuarantined', { request: request.requestId, ...contentQuarantine.describe(content) });
     done({ type: 'refused', refusal: { reason: 'quarantined' } });
   }
 
-  /** Notes that the request has left its upstream. */
-  left(reason: generationRelay.LeaveReason): void {
-    const { running } = this;
-    const { content, quarantine: held } = this.options;
-    this.running = undefined;
-    if (running === undefined) {
+  /** Records that the request has released its upstream. */
+  onReleased(reason: generationRelay.LeaveReason): void {
+    const { currentRun } = this;
+    const { content, quarantine: contentQuarantine } = this.options;
+    this.currentRun = undefined;
+    if (currentRun === undefined) {
       return;
     }
-    const { instance, run } = running;
+    const { instance, run } = currentRun;
     if (reason === 'failure' || reason === 'stall') {
       this.isChecking = true;
-      held.detector.broke(instance, run, () => {
+      contentQuarantine.detector.broke(instance, run, () => {
         this.onChecked();
       });
       return;
     }
-    held.detector.ended(instance.identity, run);
+    contentQuarantine.detector.ended(instance.identity, run);
     if (reason === 'whole') {
-      held.answered(content);
+      contentQuarantine.answered(content);
     }
   }
 
   private onChecked(): void {
-    const { waiting } = this;
+    const { deferredRequest } = this;
     this.isChecking = false;
-    this.waiting = undefined;
-    waiting?.();
+    this.deferredRequest = undefined;
+    deferredRequest?.();
   }
 }
--- a/packages/kumquatfront/src/entryNode/measuredCaller.ts
+++ b/packages/kumquatfront/src/entryNode/instrumentedCaller.ts
@@ -1,13 +1,14 @@
 /**
- * Measures a stream on its way to the caller: stall time, first token, time between tokens, whole answer.
+ * Decorators that record latencies on the way to the caller: stall time, time to first token, time between tokens, and
+ * time to the complete answer.
  */
 import type * as burnRecorder from '../burn/burnRecorder.js';
 import type * as configuration from '../configuration/types.js';
 import type * as ports from '../kernel/ports.js';
 import type * as streams from '../streams/types.js';
 
-/** What the measuring needs; `Caller` is who is measured. */
-export interface MeasuredCallerOptions<Caller = streams.GenerationCaller> {
+/** Options of the decorators; `Caller` is the type of the decorated caller. */
+export interface InstrumentedCallerOptions<Caller = streams.GenerationCaller> {
   readonly now: () => number;
   readonly burn: burnRecorder.BurnRecorder;
   readonly metrics: ports.Metrics;
@@ -16,30 +17,30 @@
 }
 
 /**
- * Wraps a caller.
+ * Wraps the caller of a stream.
  *
- * @param options - the caller and where its figures go
- * @returns a caller that measures and passes everything on
+ * @param options - the caller and the recorders of its latencies
+ * @returns a caller that records latencies and forwards every call
  * @example
  * ```ts
- * const caller = measuredCaller.create({ now, burn, metrics, urgency: 'urgent', caller: front });
+ * const caller = instrumentedCaller.create({ now, burn, metrics, urgency: 'urgent', caller: streamCaller });
  * ```
  */
-export function create(options: MeasuredCallerOptions): streams.GenerationCaller {
+export function create(options: InstrumentedCallerOptions): streams.GenerationCaller {
   const { now, burn, metrics, urgency, caller } = options;
   const startedAt = now();
-  let lastAt: number | undefined;
+  let lastTokenAt: number | undefined;
 
   const onToken = (): void => {
     const at = now();
-    if (lastAt === undefined) {
+    if (lastTokenAt === undefined) {
       burn.record('stall', urgency, at - startedAt);
       burn.record('firstToken', urgency, at - startedAt);
       metrics.timing('stream.first_token', at - startedAt, { urgency });
     } else {
-      burn.record('betweenTokens', urgency, at - lastAt);
+      burn.record('betweenTokens', urgency, at - lastTokenAt);
     }
-    lastAt = at;
+    lastTokenAt = at;
   };
 
   return {
@@ -68,16 +69,18 @@
 }
 
 /**
- * Wraps the caller of a plain service: the whole answer is what it stalls for.
+ * Wraps the caller of a plain service, whose stall time is the time to the complete answer.
  *
- * @param options - the caller and where its figures go
- * @returns a caller that measures and passes everything on
+ * @param options - the caller and the recorders of its latencies
+ * @returns a caller that records latencies and forwards every call
  * @example
  * ```ts
- * const caller = measuredCaller.createForCall({ now, burn, metrics, urgency: 'urgent', caller: front });
+ * const caller = instrumentedCaller.createForService({ now, burn, metrics, urgency: 'urgent', caller: streamCaller });
  * ```
  */
-export function createForCall(options: MeasuredCallerOptions<streams.ServiceCaller>): streams.ServiceCaller {
+export function createForService(
+  options: InstrumentedCallerOptions<streams.ServiceCaller>,
+): streams.ServiceCaller {
   const { now, burn, metrics, urgency, caller } = options;
   const startedAt = now();
   return {
--- a/packages/kumquatfront/src/entryNode/promptFacts.ts
+++ b/packages/kumquatfront/src/entryNode/promptFacts.ts
@@ -1,28 +1,28 @@
 /**
- * What routing needs to know of a prompt: about how long it is, and how it begins.
+ * Attributes of a prompt that placement uses: its estimated length and a digest of its prefix.
  */
 import * as crypto from 'node:crypto';
 
-/** Facts of a prompt. */
-export interface PromptFacts {
-  /** Estimated tokens: four characters each. */
+/** Attributes of a prompt. */
+export interface PromptAttributes {
+  /** Estimated number of tokens. */
   readonly tokens: number;
-  /** Digest of its first characters, as engines name cached prefixes; empty for a short prompt. */
+  /** Digest of the prefix, by which engines report cached prefixes; empty for a short prompt. */
   readonly prefix: string;
 }
 
 const CHARACTERS_PER_TOKEN = 4;
-/** Length of a prefix that is worth caching. */
+/** Length in characters of the prefix that is hashed. */
 export const PREFIX_LENGTH = 256;
 
 /**
- * Names the prefix of a prompt.
+ * Hashes the prefix of a prompt.
  *
  * @param text - the prompt
- * @returns 16 hexadecimal digits, or an empty text where the prompt is shorter than a prefix
+ * @returns 16 hexadecimal digits, or an empty string where the prompt is shorter than a prefix
  * @example
  * ```ts
- * promptFacts.prefixOf(prompt);
+ * promptAttributes.prefixOf(prompt);
  * ```
  */
 export function prefixOf(text: string): string {
@@ -40,16 +40,16 @@
 }
 
 /**
- * Reads the facts from an OpenAI-style body.
+ * Extracts the attributes from an OpenAI-style request body.
  *
  * @param body - the parsed body
- * @returns the facts; undefined where there is neither `prompt` nor `messages`
+ * @returns the attributes; undefined where there is neither `prompt` nor `messages`
  * @example
  * ```ts
- * promptFacts.read({ model: 'ledger', prompt: 'Reconcile these receipts' });
+ * promptAttributes.fromBody({ model: 'ledger', prompt: 'Reconcile these receipts' });
  * ```
  */
-export function read(body: Readonly<Record<string, unknown>>): PromptFacts | undefined {
+export function read(body: Readonly<Record<string, unknown>>): PromptAttributes | undefined {
   const text = textOf(body);
   if (text === undefined) {
     return undefined;
--- a/packages/kumquatfront/src/entryNode/refusals.ts
+++ b/packages/kumquatfront/src/entryNode/refusals.ts
@@ -1,10 +1,10 @@
 /**
- * Refusals that an entry gives before a request goes anywhere. Nothing has been run.
+ * Refusals of an entry before a request is sent to an upstream; no part of the request has been run.
  */
 import type * as streams from '../streams/types.js';
 
 /** The caller's key is not known. */
-export const unknownKey: streams.Refusal = {
+export const unknownBearerKey: streams.Refusal = {
   kind: 'invalid',
   status: 401,
   message: 'The bearer key is not known.',
@@ -19,8 +19,8 @@
   remedy: 'Check the labels and the model; an operator can add a selector.',
 };
 
-/** A call that is not idempotent came without a key. */
-export const keyNeeded: streams.Refusal = {
+/** A call that is not idempotent has no idempotency key. */
+export const idempotencyKeyRequired: streams.Refusal = {
   kind: 'invalid',
   status: 400,
   message: 'This call is not idempotent and was not run.',
@@ -41,15 +41,15 @@
   return {
     kind: 'notRun',
     status: 503,
-    message: 'This entry does not know the configuration yet.',
-    remedy: 'Go to another entry, or come back after the given time.',
+    message: 'This entry has not received its configuration yet.',
+    remedy: 'Use another entry, or retry after the given delay.',
     retryAfter: 1_000,
     entries,
   };
 }
 
 /**
- * The entry is cut off and others probably are not.
+ * The entry is partitioned from control and most entries, while other entries probably are not.
  *
  * @param entries - addresses of other entries
  * @returns the refusal
@@ -62,15 +62,15 @@
   return {
     kind: 'notRun',
     status: 503,
-    message: 'This entry is cut off from control and from most other entries.',
-    remedy: 'Go to another entry, or come back after the given time.',
+    message: 'This entry cannot reach control or most of the other entries.',
+    remedy: 'Use another entry, or retry after the given delay.',
     retryAfter: 5_000,
     entries,
   };
 }
 
 /**
- * The request is at fault.
+ * The request is invalid.
  *
  * @param message - what is wrong
  * @param remedy - what to do
--- a/packages/kumquatfront/src/entryNode/requestFront.ts
+++ b/packages/kumquatfront/src/entryNode/requestHandler.ts
@@ -1,5 +1,5 @@
 /**
- * Where requests enter: recognises the client account, finds the selector, and starts the relay.
+ * Handles caller requests: authenticates the client account, matches a selector, and starts the relay.
  */
 import type * as configurationTypes from '../configuration/types.js';
 import type * as ports from '../kernel/ports.js';
@@ -13,20 +13,21 @@
 import type * as streams from '../streams/types.js';
 import * as canonicalJson from '../utils/canonicalJson.js';
 import type * as entryNode from './entryNode.js';
-import * as measuredCaller from './measuredCaller.js';
+import * as instrumentedCaller from './instrumentedCaller.js';
 import * as promptFacts from './promptFacts.js';
 import * as refusals from './refusals.js';
 import type * as types from './types.js';
-import * as watchedPlacement from './watchedPlacement.js';
+import * as guardedPlacement from './guardedPlacement.js';
 
-/** What the front is made from. */
-export interface RequestFrontOptions {
+/** Dependencies of a request handler. */
+export interface RequestHandlerOptions {
   readonly settings: types.EntrySettings;
   readonly ports: types.EntryPorts;
   readonly services: serviceRegistry.ServiceRegistry<entryNode.EntryServices>;
 }
 
-interface Admitted {
+/** A request whose client account is known and for which a selector matched. */
+interface AdmittedRequest {
   readonly account: trafficResolver.ResolvedAccount;
   readonly route: trafficResolver.Route;
   readonly labels: Readonly<Record<string, string>>;
@@ -34,23 +35,23 @@
 
 type Refuse = (refusal: streams.Refusal) => void;
 
-const IDLE_HANDLE: streams.StreamHandle = { drained: () => undefined, callerGone: () => undefined };
+const NO_OP_HANDLE: streams.StreamHandle = { drained: () => undefined, callerGone: () => undefined };
 const IDEMPOTENT_METHODS: readonly string[] = ['GET', 'HEAD', 'OPTIONS'];
 
-/** The front; see the module comment. */
-export class RequestFront {
-  private readonly options: RequestFrontOptions;
+/** The request handler; see the module comment. */
+export class RequestHandler {
+  private readonly options: RequestHandlerOptions;
   private readonly log: ports.Log;
-  private active = 0;
+  private activeRequests = 0;
 
-  constructor(options: RequestFrontOptions) {
+  constructor(options: RequestHandlerOptions) {
     this.options = options;
     this.log = options.ports.log;
   }
 
-  /** Requests that have not ended. */
+  /** Number of requests that have not finished. */
   get inFlight(): number {
-    return this.active;
+    return this.activeRequests;
   }
 
   private otherEntries(): readonly string[] {
@@ -77,16 +78,16 @@
     }
     const account = this.options.services.find('resolver').account(request.bearerKey);
     if (account === undefined) {
-      refuse(refusals.unknownKey);
+      refuse(refusals.unknownBearerKey);
     }
     return account;
   }
 
   /**
-   * True where this entry reaches at most half of the entries that the settings name, itself included. The
-   * others probably hear from control and serve what was changed meanwhile, so callers are handed to them.
-   * One that reaches more than half, all of them as stale as itself, takes control to be down as a whole:
-   * nothing can be accepted then, and serving on reverts nothing.
+   * True where this entry reaches at most half of the entries named in the settings, itself included. The others
+   * probably still receive configuration changes from control, so callers are redirected to them. An entry that reaches
+   * more than half treats control as down: no change can be accepted then, and continuing to serve the last known
+   * configuration reverts nothing.
    */
   private isCutOff(): boolean {
     const { settings, services } = this.options;
@@ -99,7 +100,7 @@
     request: types.CallerRequest,
     extraLabels: Readonly<Record<string, string>>,
     refuse: Refuse,
-  ): Admitted | undefined {
+  ): AdmittedRequest | undefined {
     const account = this.admitAccount(request, refuse);
     if (account === undefined) {
       return undefined;
@@ -109,7 +110,7 @@
       refuse(refusals.invalid(parsed.val.message, parsed.val.remedy));
       return undefined;
     }
-    // The account's own labels come last, so that a caller cannot claim another market's.
+    // Labels of the account override those of the request, so that a caller cannot claim labels of another account.
     const labels = { ...parsed.val, ...extraLabels, ...account.labels };
     const route = this.options.services.find('resolver').route(labels);
     if (route === undefined) {
@@ -119,7 +120,7 @@
     return { account, route, labels };
   }
 
-  /** Takes a request to generate. */
+  /** Handles a generation request. */
   generate(request: types.GenerationRequest, caller: streams.GenerationCaller): streams.StreamHandle {
     const refuse: Refuse = (refusal) => {
       caller.refused(refusal);
@@ -127,26 +128,26 @@
     const model = typeof request.body.model === 'string' ? request.body.model : '';
     const admitted = this.admit(request, { model, path: request.path }, refuse);
     if (admitted === undefined) {
-      return IDLE_HANDLE;
+      return NO_OP_HANDLE;
     }
     const prompt = promptFacts.read(request.body);
     if (prompt === undefined) {
       refuse(refusals.invalid('The body has neither a prompt nor messages.', 'Add "prompt" or "messages".'));
-      return IDLE_HANDLE;
+      return NO_OP_HANDLE;
     }
     return this.startRelay(request, admitted, prompt, caller);
   }
 
   private startRelay(
     request: types.GenerationRequest,
-    admitted: Admitted,
-    prompt: promptFacts.PromptFacts,
+    admitted: AdmittedRequest,
+    prompt: promptFacts.PromptAttributes,
     caller: streams.GenerationCaller,
   ): streams.StreamHandle {
-    const { ports: outside, services, settings } = this.options;
+    const { ports: entryPorts, services, settings } = this.options;
     const { account, route, labels } = admitted;
     const { selector } = route;
-    const requestId = outside.random.identity();
+    const requestId = entryPorts.random.identity();
     const model = selector.adapter ?? selector.model ?? labels.model ?? '';
     const traffic = labels.traffic ?? route.selectorName;
     const placementRequest = {
@@ -160,38 +161,38 @@
       prefix: prompt.prefix,
       estimateKeys: [`${account.name}/${model}/${traffic}`, `${model}/${traffic}`, model],
     };
-    const order = {
+    const engineRequest = {
       path: request.path,
       body: JSON.stringify({ ...request.body, model, stream: true }),
       priority: selector.urgency === 'urgent' ? 0 : 1,
     };
     const relay = new generationRelay.GenerationRelay({
       requestId,
-      order,
+      order: engineRequest,
       mayRestart: request.acceptsRestart && selector.onUpstreamDeath === 'restart',
-      engines: outside.engines,
+      engines: entryPorts.engines,
       timers: services.find('timers'),
       settings: settings.relay,
-      caller: this.measured(selector.urgency, caller),
-      host: this.relayHost(
+      caller: this.instrument(selector.urgency, caller),
+      host: this.createRelayHost(
         placementRequest,
         request.path,
         contentDigest.ofParts([request.path, account.name], canonicalJson.stringify(request.body)),
       ),
     });
-    this.active += 1;
+    this.activeRequests += 1;
     services.find('retries').requested(account.name);
     relay.start();
     return relay;
   }
 
-  private measured(
+  private instrument(
     urgency: configurationTypes.Urgency,
     caller: streams.GenerationCaller,
   ): streams.GenerationCaller {
-    const { services, ports: outside } = this.options;
-    const { clock, metrics } = outside;
-    return measuredCaller.create({
+    const { services, ports: entryPorts } = this.options;
+    const { clock, metrics } = entryPorts;
+    return instrumentedCaller.create({
       now: () => clock.now(),
       burn: services.find('burn'),
       metrics,
@@ -200,15 +201,15 @@
     });
   }
 
-  private relayHost(
+  private createRelayHost(
     request: Omit<routing.PlacementRequest, 'exclude'>,
     path: string,
     content: string,
   ): generationRelay.RelayHost {
-    const { services, ports: outside, settings } = this.options;
+    const { services, ports: entryPorts, settings } = this.options;
     const placement = services.find('placement');
     const quarantine = services.find('quarantine');
-    const places = new watchedPlacement.WatchedPlacement({
+    const contentGuard = new guardedPlacement.GuardedPlacement({
       request,
       content,
       placement,
@@ -216,7 +217,7 @@
       log: this.log,
     });
     return {
-      place: (exclude, done) => places.place(exclude, done),
+      place: (exclude, done) => contentGuard.requestPlacement(exclude, done),
       issueToken: (target, generation) =>
         resumeToken.issue(
           {
@@ -234,61 +235,64 @@
         placement.progressed(request.requestId, produced);
       },
       left: (upstream, produced, reason) => {
-        places.left(reason);
-        this.onLeft(request.requestId, upstream, produced, reason);
+        contentGuard.onReleased(reason);
+        this.onReleased(request.requestId, upstream, produced, reason);
       },
       stalled: (milliseconds) => {
-        outside.metrics.count('relay.stalls', 1);
+        entryPorts.metrics.count('relay.stalls', 1);
         this.log.debug('streamStalled', { request: request.requestId, milliseconds });
       },
       dropped: () => {
-        outside.metrics.count('relay.dropped_tokens', 1);
+        entryPorts.metrics.count('relay.dropped_tokens', 1);
       },
       otherEntries: () => this.otherEntries(),
       finished: () => {
-        this.active -= 1;
+        this.activeRequests -= 1;
       },
     };
   }
 
-  private onLeft(
+  private onReleased(
     requestId: string,
     upstream: string,
     produced: number,
     reason: generationRelay.LeaveReason,
   ): void {
-    const { services, ports: outside } = this.options;
+    const { services, ports: entryPorts } = this.options;
     const health = services.find('health');
     services.find('placement').finished(requestId, produced, reason === 'whole');
     if (reason === 'whole') {
       health.succeeded(upstream);
     } else if (reason === 'failure' || reason === 'neverSent' || reason === 'stall') {
-      health.failed(upstream, reason === 'stall' ? 'stall' : 'failure', outside.clock.now());
-      outside.metrics.count('upstream.failures', 1, { reason });
+      health.failed(upstream, reason === 'stall' ? 'stall' : 'failure', entryPorts.clock.now());
+      entryPorts.metrics.count('upstream.failures', 1, { reason });
       this.log.warn('upstreamFailed', { upstream, reason, request: requestId });
     }
   }
 
-  /** Takes a request to go on with a stream, begun here or at another entry. */
+  /** Resumes a stream that was started at this or another entry. */
   resume(request: types.ResumeRequest, caller: streams.GenerationCaller): streams.StreamHandle {
-    const { settings, ports: outside, services } = this.options;
+    const { settings, ports: entryPorts, services } = this.options;
     const account = this.admitAccount(request, (refusal) => {
       caller.refused(refusal);
     });
     if (account === undefined) {
-      return IDLE_HANDLE;
+      return NO_OP_HANDLE;
     }
     const verified = resumeToken.verify(request.token, account.name, settings.signingKey);
     if (verified.err || verified.val.claims.requestId !== request.requestId) {
       const { message, remedy } = verified.err
         ? verified.val
-        : { message: 'The token is of another request.', remedy: 'Ask for the request that it names.' };
+        : {
+            message: 'The resume token belongs to another request.',
+            remedy: 'Resume the request that the token names.',
+          };
       caller.refused({ kind: 'invalid', status: 403, message, remedy });
-      return IDLE_HANDLE;
+      return NO_OP_HANDLE;
     }
     const { claims, nextIndex } = verified.val;
     const placementRequest = {
-      requestId: `${claims.requestId}/${outside.random.identity()}`,
+      requestId: `${claims.requestId}/${entryPorts.random.identity()}`,
       account: account.name,
       deployment: '',
       upstreams: '',
@@ -302,14 +306,14 @@
       requestId: claims.requestId,
       order: undefined,
       mayRestart: false,
-      engines: outside.engines,
+      engines: entryPorts.engines,
       timers: services.find('timers'),
       settings: settings.relay,
       caller,
       host: {
-        // It is not placed again: only the engine that runs it is asked.
-        ...this.relayHost(placementRequest, claims.path, ''),
-        // The token that is issued again must name the request, not this one resumption of it.
+        // A resumed stream is not placed again; it resumes only at the engine that runs it.
+        ...this.createRelayHost(placementRequest, claims.path, ''),
+        // A reissued token must name the original request, not the identifier of this resumption.
         issueToken: (target, generation) =>
           resumeToken.issue(
             { ...claims, upstream: target.name, address: target.address, generation },
@@ -317,12 +321,12 @@
           ),
       },
     });
-    this.active += 1;
+    this.activeRequests += 1;
     relay.resumeFrom({ name: claims.upstream, address: claims.address }, claims.generation, nextIndex);
     return relay;
   }
 
-  /** Takes a call to a plain service. */
+  /** Handles a call to a plain service. */
   call(request: types.ServiceRequest, caller: streams.ServiceCaller): void {
     const refuse: Refuse = (refusal) => {
       caller.refused(refusal);
@@ -335,7 +339,7 @@
     const { account, route } = admitted;
     const idempotent = route.selector.idempotent ?? IDEMPOTENT_METHODS.includes(request.method);
     if (!idempotent && request.idempotencyKey === undefined) {
-      refuse(refusals.keyNeeded);
+      refuse(refusals.idempotencyKeyRequired);
       return;
     }
     this.startCall(request, account, route, idempotent, caller);
@@ -348,11 +352,11 @@
     idempotent: boolean,
     caller: streams.ServiceCaller,
   ): void {
-    const { services, ports: outside, settings } = this.options;
+    const { services, ports: entryPorts, settings } = this.options;
     const { method, path, contentType, body } = request;
-    const requestId = outside.random.identity();
+    const requestId = entryPorts.random.identity();
     const key = request.idempotencyKey ?? '';
-    const host = this.relayHost(
+    const host = this.createRelayHost(
       {
         requestId,
         account: account.name,
@@ -368,7 +372,7 @@
       contentDigest.ofParts([request.service, method, path, account.name], body),
     );
     const digest = canonicalJson.digest([request.service, method, path, body]);
-    this.active += 1;
+    this.activeRequests += 1;
     services.find('retries').requested(account.name);
     new serviceRelay.ServiceRelay({
       call: { method, path, contentType, body, idempotencyKey: key },
@@ -376,12 +380,12 @@
         ? undefined
         : { account: account.name, key, digest, holder: settings.name, attempt: requestId },
       claims: services.find('claims'),
-      services: outside.services,
+      services: entryPorts.services,
       timeout: settings.serviceTimeout,
-      caller: measuredCaller.createForCall({
-        now: () => outside.clock.now(),
+      caller: instrumentedCaller.createForService({
+        now: () => entryPorts.clock.now(),
         burn: services.find('burn'),
-        metrics: outside.metrics,
+        metrics: entryPorts.metrics,
         urgency: route.selector.urgency,
         caller,
       }),
--- a/packages/kumquatfront/src/entryNode/types.ts
+++ b/packages/kumquatfront/src/entryNode/types.ts
@@ -1,5 +1,5 @@
 /**
- * What an entry is made from and how requests are handed to it.
+ * Settings and ports of an entry, and the requests that it handles.
  */
 import type * as coordination from '../admission/coordinatedPlacement.js';
 import type * as admission from '../admission/headroom.js';
@@ -14,16 +14,16 @@
 export interface EntrySettings {
   readonly name: string;
   readonly dataCentre: string;
-  /** Where callers reach it: `http://ip:port`. */
+  /** Address for callers: `http://ip:port`. */
   readonly callerAddress: string;
-  /** Where other processes of the system reach it: `ip:port`. */
+  /** Address for other processes of the system: `ip:port`. */
   readonly peerAddress: string;
-  /** Peer addresses of other entries to begin with. */
+  /** Peer addresses of the seed entries. */
   readonly entries: readonly string[];
   /** Peer addresses of the control replicas. */
   readonly control: readonly string[];
   readonly signingKey: string;
-  /** SHA-256 of the bearer key that upstreams announce themselves with. */
+  /** SHA-256 of the bearer key with which upstreams authenticate their announcements. */
   readonly upstreamKeyHash: string;
   readonly directory: directory.DirectorySettings;
   readonly configuration: configurationReplica.ConfigurationReplicaSettings;
@@ -33,7 +33,7 @@
   readonly coordination: coordination.CoordinationSettings;
   readonly serviceTimeout: number;
   readonly upstreamWait: number;
-  /** Time for which callers may keep a list of addresses. */
+  /** Time for which callers may cache a list of addresses. */
   readonly addressLife: number;
 }
 
@@ -42,28 +42,28 @@
   readonly engines: streams.GenerationPort;
   readonly services: streams.ServicePort;
   readonly checkUpstream: streams.CheckUpstream;
-  /** Gives orders of control to upstreams, which only entries know. */
+  /** Sends orders of control to upstreams; only entries know the addresses of upstreams. */
   readonly orders: orders.OrderPort;
-  /** Called when an operator asks this entry to drain; the daemon drains and ends. */
+  /** Called when an operator requests a drain; the daemon drains the entry and exits. */
   readonly onDrainRequest: () => void;
 }
 
-/** A request as the front hands it in. */
+/** Credentials and labels that every request of a caller carries. */
 export interface CallerRequest {
   readonly bearerKey: string;
   /** Value of the labels header. */
   readonly labelsHeader: string | undefined;
 }
 
-/** A request to generate. */
+/** A generation request. */
 export interface GenerationRequest extends CallerRequest {
   readonly path: string;
   readonly body: Readonly<Record<string, unknown>>;
-  /** True where the caller understands that a restart voids what it has. */
+  /** True where the caller discards the tokens received so far when the stream restarts. */
   readonly acceptsRestart: boolean;
 }
 
-/** A request to go on with a stream. */
+/** A request to resume a stream. */
 export interface ResumeRequest extends CallerRequest {
   readonly requestId: string;
   readonly token: string;
--- a/packages/kumquatfront/src/kernel/failures.ts
+++ b/packages/kumquatfront/src/kernel/failures.ts
@@ -1,8 +1,8 @@
 /**
- * Typed failures. Each has a kind that code may branch on and a message that names the remedy.
+ * Typed failures: a kind for programs, and a message and a remedy for people.
  */
 
-/** Kinds of failure that parts of the system report to each other and to people. */
+/** Kinds of failure, for programs to branch on. */
 export type FailureKind =
   | 'badInput'
   | 'unauthorized'
@@ -26,17 +26,17 @@
   readonly message: string;
   /** What to do about it, in one sentence. */
   readonly remedy: string;
-  /** Further facts for programs, such as the winning version of a race. */
+  /** Details for programs, such as the current version after a conflict. */
   readonly detail?: Readonly<Record<string, unknown>>;
 }
 
 /**
- * Builds a failure.
+ * Creates a failure.
  *
  * @param kind - the kind that code branches on
  * @param message - what happened
  * @param remedy - what the reader can do about it
- * @param detail - further facts for programs
+ * @param detail - details for programs
  * @returns the failure
  * @example
  * ```ts
@@ -53,10 +53,10 @@
 }
 
 /**
- * Renders a failure as one sentence for a person.
+ * Formats a failure for people.
  *
  * @param failure - the failure
- * @returns its message followed by its remedy
+ * @returns message, remedy and kind
  * @example
  * ```ts
  * failures.describe(failure); // 'This replica follows. Ask the leader. [notLeader]'
@@ -66,7 +66,7 @@
   return `${failure.message} ${failure.remedy} [${failure.kind}]`;
 }
 
-/** An exception that carries a failure; thrown only at start-up, where nothing else can be done. */
+/** Exception with a failure; thrown only at start-up, where no caller can handle a result. */
 export class FailureError extends Error {
   readonly failure: Failure;
 
--- a/packages/kumquatfront/src/kernel/ports.ts
+++ b/packages/kumquatfront/src/kernel/ports.ts
@@ -1,6 +1,6 @@
 /**
- * Ports: everything a service may ask of the outside. Decision services see only these, so a test, a
- * bench or an embedding program can drive them through messages and timers alone.
+ * Ports: interfaces of the services to their environment. Decision logic depends only on these, so that a test, a
+ * benchmark or an embedding program can drive it through messages and timers.
  */
 import type * as failures from './failures.js';
 import type * as results from './results.js';
@@ -8,18 +8,18 @@
 /** Milliseconds on a monotonic clock. */
 export type Milliseconds = number;
 
-/** Cancels what returned it; calling it twice does nothing. */
+/** Cancels the operation that returned it; further calls have no effect. */
 export type Cancel = () => void;
 
-/** Reads the time. */
+/** Source of monotonic and wall-clock time. */
 export interface Clock {
   /** Monotonic milliseconds since an arbitrary start. */
   now(): Milliseconds;
-  /** Milliseconds since 1970; only for stamps that people read or that outlive the process. */
+  /** Milliseconds since the Unix epoch; only for timestamps that people read or that outlive the process. */
   wall(): Milliseconds;
 }
 
-/** Runs a function later, on the same thread. */
+/** Runs a function after a delay, on the same thread. */
 export interface Scheduler {
   after(delay: Milliseconds, run: () => void): Cancel;
 }
@@ -28,11 +28,11 @@
 export interface Random {
   /** A float in [0, 1). */
   next(): number;
-  /** A random identity: 16 lower-case hexadecimal digits. */
+  /** A random identifier: 16 lower-case hexadecimal digits. */
   identity(): string;
 }
 
-/** Answer of a peer, or why there is none. */
+/** Receives the answer of a peer, or the failure of the call. */
 export type Reply = (result: results.Result<unknown, failures.Failure>) => void;
 
 /** Handles one method that peers call. */
@@ -42,20 +42,20 @@
 export interface PeerTransport {
   /** Calls a method of a peer; `done` is called exactly once, with a timeout failure at the latest. */
   request(address: string, method: string, parameters: unknown, timeout: Milliseconds, done: Reply): void;
-  /** Sends without waiting for an answer; it may be lost. */
+  /** Sends a message without an answer; it may be lost. */
   notify(address: string, method: string, parameters: unknown): void;
-  /** Serves a method to peers. */
+  /** Registers the handler of a method. */
   serve(method: string, handler: PeerHandler): void;
 }
 
 /**
- * Files in the one data folder. Writes last only once `sync` or `replace` has called back. Operations on
- * all files take effect in the order in which they were asked for.
+ * Files in the data folder. A write is durable only after `sync` or `replace` has called back. Operations take effect
+ * in the order in which they were requested, also across files.
  */
 export interface Disk {
-  /** Whole content of a file; undefined where there is none. */
+  /** Content of a file; undefined where the file does not exist. */
   read(file: string): Uint8Array | undefined;
-  /** Appends bytes; they may be lost or torn until synced. */
+  /** Appends bytes; until `sync` they may be lost or written in part. */
   append(file: string, bytes: Uint8Array): void;
   /** Makes earlier appends of the file durable, then calls back. */
   sync(file: string, done: () => void): void;
@@ -66,7 +66,7 @@
 /** Fields of a log line. */
 export type LogFields = Readonly<Record<string, string | number | boolean | undefined>>;
 
-/** Structured log: one line of key=value pairs an event. */
+/** Structured log: one line of key=value pairs per event. */
 export interface Log {
   debug(event: string, fields?: LogFields): void;
   info(event: string, fields?: LogFields): void;
@@ -84,7 +84,7 @@
   timing(name: string, milliseconds: number, tags?: MetricTags): void;
 }
 
-/** The ports that every node needs, whatever it does. */
+/** The ports that every kind of node needs. */
 export interface BasePorts {
   readonly clock: Clock;
   readonly scheduler: Scheduler;
--- a/packages/kumquatfront/src/kernel/results.ts
+++ b/packages/kumquatfront/src/kernel/results.ts
@@ -1,10 +1,10 @@
 /**
- * The one place that touches `ts-results`, which is CommonJS: an ES module reaches it by its default
- * import only, so every other module namespace-imports this one.
+ * Re-exports `ts-results`. The package is CommonJS, whose exports an ES module reaches only through the default import;
+ * all other modules use a namespace import of this one.
  */
 import * as tsResults from 'ts-results';
 
-/** A result that is either a value (`ok` is true) or an error; see `Ok` and `Err`. */
+/** Either a value (`ok` is true) or an error (`err` is true); see `Ok` and `Err`. */
 export type Result<Value, Failure> = tsResults.Result<Value, Failure>;
 
 /**
--- a/packages/kumquatfront/src/kernel/serviceRegistry.ts
+++ b/packages/kumquatfront/src/kernel/serviceRegistry.ts
@@ -1,9 +1,9 @@
 /**
- * The micro-kernel: services register under a name and find each other by it.
+ * Registry through which services find each other by name.
  */
 import * as failures from './failures.js';
 
-/** Finds services by name; `Services` maps each name to the type of its service. */
+/** Registry of services; `Services` maps each name to the type of its service. */
 export interface ServiceRegistry<Services extends object> {
   register<Name extends keyof Services & string>(name: Name, service: Services[Name]): void;
   find<Name extends keyof Services & string>(name: Name): Services[Name];
@@ -33,7 +33,7 @@
           failures.create(
             'notFound',
             `Service ${name} is not registered.`,
-            `Register it before ${name} is looked up; known: ${[...services.keys()].join(', ')}.`,
+            `Register it before ${name} is looked up; registered services: ${[...services.keys()].join(', ')}.`,
           ),
         );
       }
--- a/packages/kumquatfront/src/kernel/timerService.ts
+++ b/packages/kumquatfront/src/kernel/timerService.ts
@@ -1,26 +1,26 @@
 /**
- * The timer service: parts subscribe to the passing of time here instead of holding timers of their own,
- * so that stopping a node ends every timer it ever started.
+ * Timers of a node. Services schedule work here instead of on the scheduler, so that stopping the node cancels all of its
+ * timers.
  */
 import type * as ports from './ports.js';
 
-/** Hands out subscriptions to time. */
+/** Creates timers and cancels all of them on `stop`. */
 export interface TimerService {
   /** Milliseconds on the monotonic clock. */
   now(): ports.Milliseconds;
   /** Runs once after a delay. */
   after(delay: ports.Milliseconds, run: () => void): ports.Cancel;
-  /** Runs again and again; `interval` is asked each time, so that it may vary or carry jitter. */
+  /** Runs periodically; `interval` is called for each run, so that the period may vary or include jitter. */
   every(interval: () => ports.Milliseconds, run: () => void): ports.Cancel;
-  /** Ends every subscription; none fires afterwards. */
+  /** Cancels all timers; none fires afterwards, and new ones are ignored. */
   stop(): void;
 }
 
 /**
  * Creates a timer service over a clock and a scheduler.
  *
- * @param clock - where the time comes from
- * @param scheduler - what runs functions later
+ * @param clock - source of the time
+ * @param scheduler - runs functions after a delay
  * @returns the service
  * @example
  * ```ts
--- a/packages/kumquatfront/src/kernel/virtualTime.ts
+++ b/packages/kumquatfront/src/kernel/virtualTime.ts
@@ -1,60 +1,65 @@
 /**
- * Virtual time: a queue of events that run in order of time, and in order of scheduling at the same time.
+ * Virtual time for simulations: a priority queue of events, sorted by time and then by the sequence of scheduling.
  */
 import type * as ports from './ports.js';
 
-interface Event {
+interface ScheduledEvent {
   readonly at: number;
-  readonly order: number;
+  readonly sequence: number;
   readonly run: () => void;
   cancelled: boolean;
 }
 
 /** Wall-clock milliseconds at virtual time 0. */
-const WALL_START = 1_700_000_000_000;
+const WALL_CLOCK_START = 1_700_000_000_000;
 
-/** A clock that moves only when told to; see the module comment. */
+/** A clock that moves only in `advance`; see the module comment. */
 export class VirtualTime {
-  private readonly heap: Event[] = [];
-  private time = 0;
-  private scheduled = 0;
+  private readonly heap: ScheduledEvent[] = [];
+  private currentTime = 0;
+  private scheduledCount = 0;
 
   readonly clock: ports.Clock = {
-    now: () => this.time,
-    wall: () => WALL_START + this.time,
+    now: () => this.currentTime,
+    wall: () => WALL_CLOCK_START + this.currentTime,
   };
 
   now(): number {
-    return this.time;
+    return this.currentTime;
   }
 
   after(delay: number, run: () => void): ports.Cancel {
-    this.scheduled += 1;
-    const event: Event = { at: this.time + Math.max(0, delay), order: this.scheduled, run, cancelled: false };
+    this.scheduledCount += 1;
+    const event: ScheduledEvent = {
+      at: this.currentTime + Math.max(0, delay),
+      sequence: this.scheduledCount,
+      run,
+      cancelled: false,
+    };
     this.push(event);
     return () => {
       event.cancelled = true;
     };
   }
 
-  /** Runs every event of the next `duration` milliseconds. */
+  /** Runs all events of the next `duration` milliseconds and moves the clock to their end. */
   advance(duration: number): void {
-    const end = this.time + duration;
+    const end = this.currentTime + duration;
     for (let head = this.heap[0]; head !== undefined && head.at <= end; head = this.heap[0]) {
       this.pop();
       if (!head.cancelled) {
-        this.time = head.at;
+        this.currentTime = head.at;
         head.run();
       }
     }
-    this.time = end;
+    this.currentTime = end;
   }
 
-  private isBefore(left: Event, right: Event): boolean {
-    return left.at < right.at || (left.at === right.at && left.order < right.order);
+  private isBefore(left: ScheduledEvent, right: ScheduledEvent): boolean {
+    return left.at < right.at || (left.at === right.at && left.sequence < right.sequence);
   }
 
-  private push(event: Event): void {
+  private push(event: ScheduledEvent): void {
     const { heap } = this;
     let child = heap.length;
     heap.push(event);
--- a/packages/kumquatfront/src/orders/entryOrderPort.ts
+++ b/packages/kumquatfront/src/orders/entryOrderPort.ts
@@ -1,6 +1,6 @@
 /**
- * Gives orders through entries: upstreams announce themselves to entries only, so control asks one of them to
- * pass the order on. The fencing number travels with it, so that any entry may.
+ * Forwards orders of control to upstreams by way of an entry, since upstreams announce themselves only to entries. Any
+ * entry can forward an order, because the order carries its fencing number.
  */
 import type * as agreedState from '../agreedState/types.js';
 import * as methods from '../controlNode/methods.js';
@@ -11,24 +11,24 @@
 import * as results from '../kernel/results.js';
 import type * as types from './types.js';
 
-/** An order on its way through an entry. */
-export interface OrderRequest {
+/** Parameters of the call that asks an entry to forward an order. */
+export interface ForwardedOrder {
   readonly order: agreedState.Order;
   readonly timeout: number;
 }
 
-const REMEDY = 'It is tried again; `kumquatfront status` lists the entries.';
+const REMEDY = 'The order is retried automatically; `kumquatfront status` lists the entries.';
 
 /**
- * Creates control's side.
+ * Creates the port for control, which sends each order to a random entry.
  *
  * @param peers - the transport
- * @param random - picks an entry
- * @param entries - entries that were heard from
+ * @param random - selects the entry
+ * @param entries - lists the live entries
  * @returns the port
  * @example
  * ```ts
- * const orders = entryOrderPort.create(peers, random, () => liveEntries);
+ * const orders = orderForwarder.create(peers, random, () => liveEntries);
  * ```
  */
 export function create(
@@ -38,13 +38,13 @@
 ): types.OrderPort {
   return {
     give: (order, _address, timeout, done) => {
-      const known = entries();
-      const entry = known[Math.floor(random.next() * known.length)];
+      const liveEntries = entries();
+      const entry = liveEntries[Math.floor(random.next() * liveEntries.length)];
       if (entry === undefined) {
-        done(results.Err(failures.create('unreachable', 'No entry was heard from.', REMEDY)));
+        done(results.Err(failures.create('unreachable', 'No live entry is known.', REMEDY)));
         return;
       }
-      const request: OrderRequest = { order, timeout };
+      const request: ForwardedOrder = { order, timeout };
       peers.request(entry.peerAddress, methods.methods.entryOrder, request, timeout, (result) => {
         done(result.map((receipt) => receipt as types.OrderReceipt));
       });
@@ -53,14 +53,14 @@
 }
 
 /**
- * Serves an entry's side.
+ * Serves the forwarding of orders at an entry.
  *
  * @param peers - the transport
- * @param table - the upstreams this entry knows
- * @param port - reaches upstreams
+ * @param table - the upstreams known to this entry
+ * @param port - sends orders to upstreams
  * @example
  * ```ts
- * entryOrderPort.serve(peers, directory.table, ports.orders);
+ * orderForwarder.serve(peers, directory.table, ports.orders);
  * ```
  */
 export function serve(
@@ -69,11 +69,17 @@
   port: types.OrderPort,
 ): void {
   peers.serve(methods.methods.entryOrder, (parameters, reply) => {
-    const { order, timeout } = parameters as OrderRequest;
+    const { order, timeout } = parameters as ForwardedOrder;
     const address = table.get(order.upstream)?.announcement.address;
     if (address === undefined) {
       reply(
-        results.Err(failures.create('unreachable', `${order.upstream} has not announced itself.`, REMEDY)),
+        results.Err(
+          failures.create(
+            'unreachable',
+            `Upstream ${order.upstream} has not announced itself to this entry.`,
+            REMEDY,
+          ),
+        ),
       );
       return;
     }
--- a/packages/kumquatfront/src/orders/orderDesk.ts
+++ b/packages/kumquatfront/src/orders/orderDesk.ts
@@ -1,6 +1,6 @@
 /**
- * Gives the orders of the agreed state to upstreams: only as the leader, each with the fencing number that
- * the log gave it, oldest first for each upstream, and weight loads no faster than the store allows.
+ * Sends the open orders of the agreed state to upstreams: only while this replica leads, with the fencing number that the
+ * log assigned, oldest first for each upstream, and with weight loads limited to the rate of the weight store.
  */
 import type * as agreedState from '../agreedState/agreedState.js';
 import type * as agreedTypes from '../agreedState/types.js';
@@ -9,8 +9,8 @@
 import type * as timerService from '../kernel/timerService.js';
 import type * as types from './types.js';
 
-/** What the desk is made from. */
-export interface OrderDeskOptions {
+/** Dependencies of an order dispatcher. */
+export interface OrderDispatcherOptions {
   readonly settings: types.OrderSettings;
   readonly replica: Pick<replica.Replica, 'mayLead' | 'propose'>;
   readonly state: agreedState.AgreedState;
@@ -21,44 +21,44 @@
 
 const MINUTE = 60_000;
 
-/** The desk; see the module comment. */
+/** The order dispatcher; see the module comment. */
 export class OrderDesk {
-  private readonly options: OrderDeskOptions;
+  private readonly options: OrderDispatcherOptions;
   private leadingSince: number | undefined;
   private readonly inFlight = new Set<string>();
   private readonly attempts = new Map<string, number>();
   private readonly loadTimes: number[] = [];
 
-  constructor(options: OrderDeskOptions) {
+  constructor(options: OrderDispatcherOptions) {
     this.options = options;
     options.timers.every(
       () => options.settings.pumpInterval,
       () => {
-        this.pump();
+        this.tick();
       },
     );
   }
 
-  private pump(): void {
-    const { replica: own, timers, settings, state } = this.options;
-    if (!own.mayLead()) {
+  private tick(): void {
+    const { replica: consensusReplica, timers, settings, state } = this.options;
+    if (!consensusReplica.mayLead()) {
       this.leadingSince = undefined;
       return;
     }
     this.leadingSince ??= timers.now();
-    // Some upstreams ignore the fencing number. For them the only safeguard is time: the former leader has
-    // stopped by the end of its lease, and what it sent before has arrived or is lost after the longest flight.
+    // Upstreams that ignore fencing numbers could apply a late order of the former leader after a newer one. It stops
+    // sending when its lease ends, and its last orders have arrived or are lost after `longestFlight`.
     if (timers.now() - this.leadingSince < settings.longestFlight) {
       return;
     }
-    for (const order of mostWantedFirst(state.openOrders())) {
-      this.give(order);
+    for (const order of nextOrdersByDemand(state.openOrders())) {
+      this.sendOrder(order);
     }
   }
 
-  private give(order: agreedTypes.Order): void {
+  private sendOrder(order: agreedTypes.Order): void {
     const { port, settings } = this.options;
-    if (this.inFlight.has(order.orderId) || !this.mayLoad(order)) {
+    if (this.inFlight.has(order.orderId) || !this.tryAcquireLoadPermit(order)) {
       return;
     }
     this.inFlight.add(order.orderId);
@@ -66,14 +66,15 @@
     port.give(order, '', settings.longestFlight, (result) => {
       this.inFlight.delete(order.orderId);
       if (result.ok && result.val.fencingNumber >= order.fencingNumber) {
-        this.settle(order, 'done');
+        this.recordOutcome(order, 'done');
       } else if ((this.attempts.get(order.orderId) ?? 0) >= settings.attempts) {
-        this.settle(order, 'failed');
+        this.recordOutcome(order, 'failed');
       }
     });
   }
 
-  private mayLoad(order: agreedTypes.Order): boolean {
+  /** Consumes a permit of the rate limit for weight loads; a change of role needs none. */
+  private tryAcquireLoadPermit(order: agreedTypes.Order): boolean {
     if (order.order.action === 'changeRole') {
       return true;
     }
@@ -88,42 +89,43 @@
     return true;
   }
 
-  private settle(order: agreedTypes.Order, result: 'done' | 'failed'): void {
-    const { replica: own, log } = this.options;
+  private recordOutcome(order: agreedTypes.Order, result: 'done' | 'failed'): void {
+    const { replica: consensusReplica, log } = this.options;
     this.attempts.delete(order.orderId);
     log.info('orderSettled', { order: order.orderId, upstream: order.upstream, result });
-    own.propose({ type: 'settleOrder', orderId: order.orderId, result }, () => undefined);
+    consensusReplica.propose({ type: 'settleOrder', orderId: order.orderId, result }, () => undefined);
   }
 }
 
-function oldestOfEachUpstream(orders: readonly agreedTypes.Order[]): readonly agreedTypes.Order[] {
-  const heads = new Map<string, agreedTypes.Order>();
+function oldestOrderOfEachUpstream(orders: readonly agreedTypes.Order[]): readonly agreedTypes.Order[] {
+  const oldestOrders = new Map<string, agreedTypes.Order>();
   for (const order of orders) {
-    if (!heads.has(order.upstream)) {
-      heads.set(order.upstream, order);
+    if (!oldestOrders.has(order.upstream)) {
+      oldestOrders.set(order.upstream, order);
     }
   }
-  return [...heads.values()];
+  return [...oldestOrders.values()];
 }
 
 /**
- * The oldest open order of each upstream, those whose target most open orders want first. An upstream gets
- * its orders in the order of the log: one that ignores fencing numbers would else end up with the older.
+ * Selects the oldest open order of each upstream, sorted by the number of open orders with the same target, highest
+ * first. Each upstream receives its orders in log order: one that ignores fencing numbers would otherwise end up with the
+ * older order.
  *
  * @param orders - the open orders, oldest first
- * @returns the orders that may be given now
+ * @returns the orders that may be sent now
  * @example
  * ```ts
- * orderDesk.mostWantedFirst(state.openOrders());
+ * orderDispatcher.nextOrdersByDemand(state.openOrders());
  * ```
  */
-export function mostWantedFirst(orders: readonly agreedTypes.Order[]): readonly agreedTypes.Order[] {
-  const wanted = new Map<string, number>();
+export function nextOrdersByDemand(orders: readonly agreedTypes.Order[]): readonly agreedTypes.Order[] {
+  const demand = new Map<string, number>();
   for (const { order } of orders) {
-    wanted.set(order.target, (wanted.get(order.target) ?? 0) + 1);
+    demand.set(order.target, (demand.get(order.target) ?? 0) + 1);
   }
-  const wantedOf = (order: agreedTypes.Order): number => wanted.get(order.order.target) ?? 0;
-  return [...oldestOfEachUpstream(orders)].sort(
-    (left, right) => wantedOf(right) - wantedOf(left) || left.fencingNumber - right.fencingNumber,
+  const demandOf = (order: agreedTypes.Order): number => demand.get(order.order.target) ?? 0;
+  return [...oldestOrderOfEachUpstream(orders)].sort(
+    (left, right) => demandOf(right) - demandOf(left) || left.fencingNumber - right.fencingNumber,
   );
 }
--- a/packages/kumquatfront/src/orders/types.ts
+++ b/packages/kumquatfront/src/orders/types.ts
@@ -1,32 +1,32 @@
 /**
- * Orders to upstreams: load a model or an adapter, or change the role.
+ * Types of the orders to upstreams: load a model or an adapter, or change the role.
  */
 import type * as agreedState from '../agreedState/types.js';
 import type * as failures from '../kernel/failures.js';
 import type * as results from '../kernel/results.js';
 
-/** Times are milliseconds. */
+/** Settings of the order dispatcher. Times are milliseconds. */
 export interface OrderSettings {
-  /** How long an order can be on its way; a new leader waits for this before it gives orders. */
+  /** Maximum time for which an order can be in flight; a new leader waits for it before it sends orders. */
   readonly longestFlight: number;
-  /** Weight loads that the weight store allows a minute. */
+  /** Weight loads per minute that the weight store allows. */
   readonly weightLoadsPerMinute: number;
   readonly pumpInterval: number;
-  /** Tries after which an order counts as failed. */
+  /** Number of attempts after which an order is recorded as failed. */
   readonly attempts: number;
 }
 
-/** What an upstream reports of the newest order it has taken. */
+/** The newest order that an upstream has accepted, as it reports it. */
 export interface OrderReceipt {
   readonly fencingNumber: number;
   readonly target: string;
 }
 
-/** Upstreams as the order desk sees them. */
+/** Port through which orders are sent to upstreams. */
 export interface OrderPort {
   /**
-   * Gives an order; the answer is what the upstream, read back, has taken last. `address` is that of the
-   * upstream where the giver knows it, else empty.
+   * Sends an order, then reads back the newest order that the upstream has accepted. `address` is empty where the sender
+   * does not know the address of the upstream.
    */
   give(
     order: agreedState.Order,
--- a/packages/scenarios/src/scripts/quarantineSafeguards.ts
+++ b/packages/scenarios/src/scripts/quarantineSafeguards.ts
@@ -125,7 +125,7 @@
   },
   {
     name: 'entries of the own interface pass the gate',
-    file: 'entryNode/watchedPlacement.js',
+    file: 'entryNode/guardedPlacement.js',
     find: 'return this.options.quarantine.verdictOf(this.options.content);',
     replace: "return 'free';",
     scenario: 'stream-ends-its-engines',
