--- a/packages/kumquatfront/src/entryNode/entryNode.ts
+++ b/packages/kumquatfront/src/entryNode/entryNode.ts
@@ -54,7 +54,7 @@
   readonly services: serviceRegistry.ServiceRegistry<EntryServices>;
   readonly requests: requestHandler.RequestHandler;
   /** Applies an announcement, load report or cache event that an upstream posted. */
-  takeNews(news: directoryTypes.UpstreamNews): void;
+  takeNews(update: directoryTypes.UpstreamNews): void;
   /** Entry addresses to give to callers, in order of preference. */
   addresses(): readonly addressList.EntryAddress[];
   /** Current state of this entry, as published in the directory. */
@@ -197,8 +197,8 @@
   return {
     services,
     requests,
-    takeNews: (news) => {
-      entryDirectory.takeNews(news);
+    takeNews: (update) => {
+      entryDirectory.takeNews(update);
     },
     addresses: () => addressList.order(entryDirectory.entries(), settings.dataCentre, random),
     presence,
