--- a/packages/kumquatfront/src/admission/coordinatedPlacement.ts
+++ b/packages/kumquatfront/src/admission/coordinatedPlacement.ts
@@ -1,7 +1,7 @@
 /**
- * Placement by entries together. Urgent requests go out at once, by this entry's own choice. Patient ones are
- * placed by the coordinator of a group of engines: an entry that all others pick by rendezvous hashing, which
- * knows everything patient that runs on the group. When it does not answer, this entry places by itself.
+ * Placement coordinated between entries. Urgent requests are placed locally and immediately. Patient requests are
+ * placed by the coordinator of a group of engines, an entry selected by rendezvous hashing that tracks all patient
+ * requests running on the group. If the coordinator does not answer, this entry places the request locally.
  */
 import type * as directory from '../directory/directory.js';
 import type * as directoryTypes from '../directory/types.js';
@@ -12,20 +12,20 @@
 import * as localPlacement from './localPlacement.js';
 import * as placementCoordinator from './placementCoordinator.js';
 
-/** Settings of the coordination; times in milliseconds. */
+/** Settings of coordinated placement; times in milliseconds. */
 export interface CoordinationSettings {
-  /** Engines in a group at most; each group has a coordinator. */
+  /** Maximum number of engines in a group; each group has one coordinator. */
   readonly groupSize: number;
-  /** Time after which an ask is repeated, and progress is told. */
+  /** Interval at which unanswered requests are resent and progress is reported. */
   readonly interval: number;
-  /** Time a coordinator has to answer an ask. */
+  /** Time within which a coordinator must answer a request. */
   readonly askTimeout: number;
 }
 
-/** Settings for deployments of today's size; docs/CAPACITY.md gives those for the size designed for. */
+/** Defaults for small deployments; see docs/CAPACITY.md for larger ones. */
 export const defaultSettings: CoordinationSettings = { groupSize: 16, interval: 1_000, askTimeout: 300 };
 
-/** What the placement is made from. */
+/** Dependencies and settings of a coordinated placement. */
 export interface CoordinatedPlacementOptions extends localPlacement.LocalPlacementOptions {
   readonly directory: directory.Directory;
   readonly name: string;
@@ -34,25 +34,25 @@
   readonly coordination: CoordinationSettings;
 }
 
-interface Waiting {
+interface PendingRequest {
   readonly request: routing.PlacementRequest;
   readonly done: (placement: routing.Placement) => void;
   coordinator: string;
 }
 
-interface RunningHere {
+interface RunningRequest {
   readonly request: routing.PlacementRequest;
   readonly upstream: string;
   produced: number;
 }
 
-/** The placement; see the module comment. */
+/** Places requests together with the other entries; see the module comment. */
 export class CoordinatedPlacement implements routing.PlacementPolicy {
   private readonly options: CoordinatedPlacementOptions;
   private readonly local: localPlacement.LocalPlacement;
   private readonly coordinator: placementCoordinator.PlacementCoordinator;
-  private readonly asked = new Map<string, Waiting>();
-  private readonly running = new Map<string, RunningHere>();
+  private readonly pending = new Map<string, PendingRequest>();
+  private readonly running = new Map<string, RunningRequest>();
 
   constructor(options: CoordinatedPlacementOptions) {
     this.options = options;
@@ -63,14 +63,14 @@
       options.timers,
     );
     options.peers.serve(messages.methods.granted, (parameters) => {
-      const { requestId, answer } = parameters as messages.Granted;
+      const { requestId, answer } = parameters as messages.GrantNotification;
       this.onAnswer(requestId, answer);
     });
     options.timers.every(
       () => options.coordination.interval,
       () => {
-        this.repeatAsks();
-        this.tellProgress();
+        this.resendRequests();
+        this.reportProgress();
       },
     );
   }
@@ -79,45 +79,48 @@
     if (request.urgency === 'urgent' || request.kind === 'plainService') {
       return this.local.place(request, done);
     }
-    return this.local.whenUsable(request, done, () => this.ask(request, done));
+    return this.local.runWhenUsable(request, done, () => this.requestPlacement(request, done));
   }
 
-  private ask(request: routing.PlacementRequest, done: (placement: routing.Placement) => void): ports.Cancel {
-    const grouped = { ...request, group: this.groupFor(request) };
-    const waiting: Waiting = { request: grouped, done, coordinator: this.coordinatorOf(grouped) };
-    this.asked.set(request.requestId, waiting);
-    this.sendAsk(waiting);
+  private requestPlacement(
+    request: routing.PlacementRequest,
+    done: (placement: routing.Placement) => void,
+  ): ports.Cancel {
+    const grouped = { ...request, group: this.pickGroup(request) };
+    const waiting: PendingRequest = { request: grouped, done, coordinator: this.coordinatorOf(grouped) };
+    this.pending.set(request.requestId, waiting);
+    this.sendRequest(waiting);
     return () => {
-      if (this.asked.delete(request.requestId)) {
+      if (this.pending.delete(request.requestId)) {
         this.withdraw(waiting);
       }
     };
   }
 
-  private groupFor(request: routing.PlacementRequest): routing.EngineGroup {
+  private pickGroup(request: routing.PlacementRequest): routing.EngineGroup {
     const engines = this.options.directory.table.candidates(request.upstreams).length;
     const count = Math.max(1, Math.ceil(engines / this.options.coordination.groupSize));
     return { index: Math.floor(this.options.random.next() * count), count };
   }
 
-  private presences(): readonly directoryTypes.EntryPresence[] {
+  private servingEntries(): readonly directoryTypes.EntryPresence[] {
     return this.options.directory.entries().filter((entry) => entry.state === 'serving');
   }
 
-  /** Peer address of the coordinator of a request's group. */
+  /** Returns the peer address of the coordinator of a request's engine group. */
   private coordinatorOf(request: routing.PlacementRequest): string {
     return this.coordinatorOfGroup(groupKey(request));
   }
 
   private coordinatorOfGroup(key: string): string {
-    const presences = this.presences();
-    const names = presences.map((entry) => entry.name);
+    const entries = this.servingEntries();
+    const names = entries.map((entry) => entry.name);
     const picked = rendezvous.pick(key, names);
-    return presences.find((entry) => entry.name === picked)?.peerAddress ?? this.options.peerAddress;
+    return entries.find((entry) => entry.name === picked)?.peerAddress ?? this.options.peerAddress;
   }
 
-  /** Finds coordinators during one pass over many requests, which share few groups: each is picked once. */
-  private coordinatorsOfPass(): (request: routing.PlacementRequest) => string {
+  /** Returns a lookup that caches the coordinator of each group, for a pass over many requests. */
+  private createCoordinatorLookup(): (request: routing.PlacementRequest) => string {
     const picked = new Map<string, string>();
     return (request) => {
       const key = groupKey(request);
@@ -127,42 +130,43 @@
     };
   }
 
-  private sendAsk(waiting: Waiting): void {
+  private sendRequest(waiting: PendingRequest): void {
     const { peers, peerAddress, coordination } = this.options;
     const { requestId } = waiting.request;
-    const ask: messages.Ask = {
+    const message: messages.CoordinatorRequest = {
       from: peerAddress,
       request: { ...waiting.request, exclude: [...waiting.request.exclude] },
     };
     if (waiting.coordinator === peerAddress) {
-      this.onAnswer(requestId, this.coordinator.onAsk(ask));
+      this.onAnswer(requestId, this.coordinator.handleRequest(message));
       return;
     }
-    peers.request(waiting.coordinator, messages.methods.ask, ask, coordination.askTimeout, (result) => {
+    peers.request(waiting.coordinator, messages.methods.ask, message, coordination.askTimeout, (result) => {
       if (result.ok) {
-        this.onAnswer(requestId, result.val as messages.AskAnswer);
+        this.onAnswer(requestId, result.val as messages.CoordinatorAnswer);
       } else {
-        this.placeAlone(requestId, waiting);
+        this.placeLocally(requestId, waiting);
       }
     });
   }
 
   /**
-   * A coordinator that is frozen or cut off would hold every patient request back until its lease as an entry
-   * ends. Placing alone meanwhile may fill an engine more than planned, which costs a preemption at worst.
+   * Places a request locally when its coordinator does not answer. A frozen or partitioned coordinator would
+   * otherwise block all patient requests until its lease expires. At worst an engine is overcommitted and
+   * preempts a generation.
    */
-  private placeAlone(requestId: string, waiting: Waiting): void {
-    if (this.asked.get(requestId) !== waiting) {
+  private placeLocally(requestId: string, waiting: PendingRequest): void {
+    if (this.pending.get(requestId) !== waiting) {
       return;
     }
-    this.asked.delete(requestId);
+    this.pending.delete(requestId);
     this.options.metrics.count('placement.alone', 1);
     this.local.placePatient(waiting.request, (placement) => {
-      this.track(waiting, placement);
+      this.recordPlacement(waiting, placement);
     });
   }
 
-  private track(waiting: Waiting, placement: routing.Placement): void {
+  private recordPlacement(waiting: PendingRequest, placement: routing.Placement): void {
     const { request, done } = waiting;
     if (placement.type === 'granted') {
       const upstream = placement.upstream.announcement.name;
@@ -171,12 +175,12 @@
     done(placement);
   }
 
-  private onAnswer(requestId: string, answer: messages.AskAnswer): void {
-    const waiting = this.asked.get(requestId);
+  private onAnswer(requestId: string, answer: messages.CoordinatorAnswer): void {
+    const waiting = this.pending.get(requestId);
     if (waiting === undefined || answer.state === 'waiting') {
       return;
     }
-    this.asked.delete(requestId);
+    this.pending.delete(requestId);
     if (answer.state === 'refused') {
       waiting.done({ type: 'refused', refusal: answer.refusal });
       return;
@@ -184,12 +188,12 @@
     this.onGranted(waiting, answer.announcement);
   }
 
-  private onGranted(waiting: Waiting, announcement: directoryTypes.Announcement): void {
-    const { directory: known, timers } = this.options;
-    // The coordinator may know an upstream that the news has not brought here yet.
-    known.table.announce(announcement, 0, timers.now());
-    const upstream = known.table.get(announcement.name);
-    // The coordinator can repeat its former answer when word that the request left that engine was lost.
+  private onGranted(waiting: PendingRequest, announcement: directoryTypes.Announcement): void {
+    const { directory: upstreams, timers } = this.options;
+    // The coordinator may have learned of an upstream that gossip has not delivered to this entry yet.
+    upstreams.table.announce(announcement, 0, timers.now());
+    const upstream = upstreams.table.get(announcement.name);
+    // The coordinator repeats its previous answer if the notification that the request left the engine was lost.
     const failed = waiting.request.exclude.has(announcement.name);
     if (upstream === undefined || upstream.leaving || failed) {
       this.withdraw(waiting);
@@ -200,36 +204,36 @@
       return;
     }
     if (waiting.coordinator !== this.options.peerAddress) {
-      this.local.ledger.dispatched(waiting.request, announcement.name, timers.now());
+      this.local.dispatches.dispatched(waiting.request, announcement.name, timers.now());
     }
-    this.track(waiting, { type: 'granted', upstream });
+    this.recordPlacement(waiting, { type: 'granted', upstream });
   }
 
-  private withdraw(waiting: Waiting): void {
+  private withdraw(waiting: PendingRequest): void {
     const { requestId } = waiting.request;
     if (waiting.coordinator === this.options.peerAddress) {
-      this.coordinator.forget(requestId);
+      this.coordinator.discard(requestId);
     } else {
       this.options.peers.notify(waiting.coordinator, messages.methods.withdrawn, { requestId });
     }
   }
 
-  /** Asks again: an answer may be lost, and the coordinator may be another by now. */
-  private repeatAsks(): void {
-    const coordinatorOf = this.coordinatorsOfPass();
-    for (const waiting of [...this.asked.values()]) {
+  /** Resends unanswered requests: the answer may have been lost, or the coordinator may have changed. */
+  private resendRequests(): void {
+    const coordinatorOf = this.createCoordinatorLookup();
+    for (const waiting of [...this.pending.values()]) {
       const coordinator = coordinatorOf(waiting.request);
       if (coordinator !== waiting.coordinator) {
         this.withdraw(waiting);
         waiting.coordinator = coordinator;
       }
-      this.sendAsk(waiting);
+      this.sendRequest(waiting);
     }
   }
 
-  private tellProgress(): void {
-    const coordinatorOf = this.coordinatorsOfPass();
-    const byCoordinator = new Map<string, messages.Running[]>();
+  private reportProgress(): void {
+    const coordinatorOf = this.createCoordinatorLookup();
+    const byCoordinator = new Map<string, messages.RunningGeneration[]>();
     for (const { request, upstream, produced } of this.running.values()) {
       const coordinator = coordinatorOf(request);
       const list = byCoordinator.get(coordinator) ?? [];
@@ -238,7 +242,7 @@
       byCoordinator.set(coordinator, list);
     }
     for (const [coordinator, running] of byCoordinator) {
-      const progress: messages.Progress = { running };
+      const progress: messages.ProgressReport = { running };
       this.options.peers.notify(coordinator, messages.methods.progress, progress);
     }
   }
@@ -256,15 +260,15 @@
     this.running.delete(requestId);
     this.local.finished(requestId, produced, whole);
     if (running !== undefined) {
-      this.tellFinished(this.coordinatorOf(running.request), { requestId, produced, whole });
+      this.reportFinished(this.coordinatorOf(running.request), { requestId, produced, whole });
     }
   }
 
   /**
-   * Tells the coordinator that a request has left its engine. This entry's own is told at once and not by a
-   * message to itself: the request may ask again in the same moment, and would get its former answer.
+   * Notifies the coordinator that a request has left its engine. The coordinator in this process is called
+   * synchronously: the request may be placed again immediately and would otherwise receive its previous answer.
    */
-  private tellFinished(coordinator: string, finished: messages.Finished): void {
+  private reportFinished(coordinator: string, finished: messages.FinishNotification): void {
     if (coordinator === this.options.peerAddress) {
       this.coordinator.onFinished(finished);
     } else {
@@ -273,7 +277,7 @@
   }
 
   waiting(): number {
-    return this.asked.size + this.local.waiting();
+    return this.pending.size + this.local.waiting();
   }
 }
 
--- a/packages/kumquatfront/src/admission/coordinationMessages.ts
+++ b/packages/kumquatfront/src/admission/coordinationMessages.ts
@@ -1,10 +1,10 @@
 /**
- * Messages between entries about the placement of patient requests.
+ * Messages exchanged between entries to place patient requests.
  */
 import type * as directory from '../directory/types.js';
 import type * as routing from '../routing/types.js';
 
-/** Names of the methods. */
+/** Method names. */
 export const methods = {
   ask: 'placement.ask',
   granted: 'placement.granted',
@@ -13,32 +13,32 @@
   withdrawn: 'placement.withdrawn',
 } as const;
 
-/** A request as it travels: the sets are lists. */
-export type TravellingRequest = Omit<routing.PlacementRequest, 'exclude'> & {
+/** A placement request as sent between entries, with sets encoded as lists. */
+export type SerializedPlacementRequest = Omit<routing.PlacementRequest, 'exclude'> & {
   readonly exclude: readonly string[];
 };
 
-/** Asks the coordinator of a group of engines for a place; safe to repeat. */
-export interface Ask {
-  /** Peer address that the grant goes to. */
+/** Requests placement from the coordinator of an engine group; idempotent. */
+export interface CoordinatorRequest {
+  /** Peer address that the grant is sent to. */
   readonly from: string;
-  readonly request: TravellingRequest;
+  readonly request: SerializedPlacementRequest;
 }
 
-/** A place, a refusal, or word that the request waits. */
-export type AskAnswer =
+/** The outcome of a request: granted, refused, or still waiting. */
+export type CoordinatorAnswer =
   | { readonly state: 'waiting' }
   | { readonly state: 'granted'; readonly announcement: directory.Announcement }
   | { readonly state: 'refused'; readonly refusal: routing.PlacementRefusal };
 
-/** Tells the asker that its request has a place. */
-export interface Granted {
+/** Notifies the requesting entry that its request was granted or refused. */
+export interface GrantNotification {
   readonly requestId: string;
-  readonly answer: AskAnswer;
+  readonly answer: CoordinatorAnswer;
 }
 
-/** One running generation, with all that a new coordinator needs to know of it. */
-export interface Running {
+/** A running generation, with everything a new coordinator needs to track it. */
+export interface RunningGeneration {
   readonly requestId: string;
   readonly upstream: string;
   readonly promptTokens: number;
@@ -46,13 +46,13 @@
   readonly produced: number;
 }
 
-/** Progress of everything that one entry runs in a coordinator's group. */
-export interface Progress {
-  readonly running: readonly Running[];
+/** Progress of all generations that one entry runs in a coordinator's group. */
+export interface ProgressReport {
+  readonly running: readonly RunningGeneration[];
 }
 
-/** A request has left its engine. */
-export interface Finished {
+/** Notifies the coordinator that a request has left its engine. */
+export interface FinishNotification {
   readonly requestId: string;
   readonly produced: number;
   readonly whole: boolean;
--- a/packages/kumquatfront/src/admission/drainRate.ts
+++ b/packages/kumquatfront/src/admission/drainRate.ts
@@ -1,41 +1,41 @@
 /**
- * How fast a queue drains, for an honest time to come back.
+ * Measures how fast a queue drains, to compute the retry delay of refused requests. Times are milliseconds.
  */
 
 const HALF_LIFE = 10_000;
-const SHORTEST = 500;
-const LONGEST = 60_000;
+const MINIMUM_WAIT = 500;
+const MAXIMUM_WAIT = 60_000;
 
-/** Grants a second, with older grants fading. */
+/** Exponentially decayed rate of grants. */
 export class DrainRate {
-  private weight = 0;
-  private span = 0;
+  private decayedGrants = 0;
+  private decayedTime = 0;
   private updatedAt: number;
 
   constructor(now: number) {
     this.updatedAt = now;
   }
 
-  private fade(now: number): void {
+  private decay(now: number): void {
     const elapsed = now - this.updatedAt;
     const factor = 0.5 ** (elapsed / HALF_LIFE);
-    this.weight *= factor;
-    this.span = this.span * factor + elapsed;
+    this.decayedGrants *= factor;
+    this.decayedTime = this.decayedTime * factor + elapsed;
     this.updatedAt = now;
   }
 
-  granted(now: number): void {
-    this.fade(now);
-    this.weight += 1;
+  recordGrant(now: number): void {
+    this.decay(now);
+    this.decayedGrants += 1;
   }
 
-  /** Milliseconds until `count` more items will have been granted, between half a second and a minute. */
-  timeFor(count: number, now: number): number {
-    this.fade(now);
-    if (this.weight < 0.01 || this.span <= 0) {
-      return LONGEST;
+  /** Estimates the milliseconds until `count` more items are granted, clamped to the minimum and maximum wait. */
+  estimateWait(count: number, now: number): number {
+    this.decay(now);
+    if (this.decayedGrants < 0.01 || this.decayedTime <= 0) {
+      return MAXIMUM_WAIT;
     }
-    const perMillisecond = this.weight / this.span;
-    return Math.round(Math.min(LONGEST, Math.max(SHORTEST, count / perMillisecond)));
+    const perMillisecond = this.decayedGrants / this.decayedTime;
+    return Math.round(Math.min(MAXIMUM_WAIT, Math.max(MINIMUM_WAIT, count / perMillisecond)));
   }
 }
--- a/packages/kumquatfront/src/admission/fairQueue.spec.ts
+++ b/packages/kumquatfront/src/admission/fairQueue.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Fairness, bounds and ageing of the queue.
+ * Tests the fairness, bounds and aging of the queue.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -11,7 +11,7 @@
 }
 
 function push(queue: fairQueue.FairQueue<number>, account: string, cost: number, since = 0): boolean {
-  return queue.push({ account, cost, since, value: cost });
+  return queue.push({ account, cost, enqueuedAt: since, value: cost });
 }
 
 function serve(queue: fairQueue.FairQueue<number>, count: number, now = 0): readonly string[] {
@@ -26,9 +26,8 @@
   return served;
 }
 
-// A large account queues a hundred requests before a small one queues two. By turns, the small one is served
-// long before the large one is done, and both get about the same tokens meanwhile.
-void test.test('a large account does not push a small one out', () => {
+// Guards against starvation of a small account by the backlog of a large one.
+void test.test('a large account does not starve a small one', () => {
   const queue = createQueue();
   for (let count = 0; count < 100; count += 1) {
     push(queue, 'large', 500);
@@ -39,7 +38,7 @@
   assert.equal(served.filter((account) => account === 'small').length, 2);
 });
 
-void test.test('shares follow the weights', () => {
+void test.test('accounts are served in proportion to their weights', () => {
   const queue = createQueue((account) => (account === 'heavy' ? 3 : 1));
   for (let count = 0; count < 100; count += 1) {
     push(queue, 'heavy', 1_000);
@@ -49,7 +48,7 @@
   assert.equal(served.filter((account) => account === 'heavy').length, 30);
 });
 
-void test.test('shares are of tokens, not of requests', () => {
+void test.test('fairness counts tokens, not requests', () => {
   const queue = createQueue();
   for (let count = 0; count < 100; count += 1) {
     push(queue, 'long', 2_000);
@@ -57,10 +56,10 @@
   }
   const served = serve(queue, 55);
   const long = served.filter((account) => account === 'long').length;
-  assert.ok(long >= 4 && long <= 6, `${long} long ones in 55`);
+  assert.ok(long >= 4 && long <= 6, `${long} long requests among 55`);
 });
 
-void test.test('bounds of an account and of all are kept, and room comes back', () => {
+void test.test('the bounds per account and in total are enforced, and serving an item frees capacity', () => {
   const queue = createQueue();
   for (let count = 0; count < 100; count += 1) {
     assert.equal(push(queue, 'a', 1), true);
@@ -76,9 +75,8 @@
   assert.equal(push(queue, 'd', 1), true);
 });
 
-// One expensive request of a patient account would wait while cheap ones keep coming. Once it has waited long
-// enough it goes first whatever the turns say.
-void test.test('a request that waited too long goes first', () => {
+// Guards against starvation of an expensive request by a steady supply of cheap ones.
+void test.test('a request queued for longer than the aging threshold is served first', () => {
   const queue = createQueue();
   push(queue, 'patient', 50_000, 0);
   for (let count = 0; count < 50; count += 1) {
--- a/packages/kumquatfront/src/admission/fairQueue.ts
+++ b/packages/kumquatfront/src/admission/fairQueue.ts
@@ -1,19 +1,19 @@
 /**
- * A bounded queue that is fair between client accounts: deficit round robin after Shreedhar and Varghese
- * (1995), with tokens as the cost, so that a few large accounts do not push the small ones out.
+ * A bounded queue that is fair between client accounts. Uses deficit round robin (Shreedhar and Varghese, 1995)
+ * with tokens as the cost, so that large accounts cannot starve small ones.
  */
 
-/** What waits. */
+/** A queued item. */
 export interface QueueItem<Value> {
   readonly account: string;
   /** Expected cost in tokens. */
   readonly cost: number;
-  /** Time at which it began to wait, milliseconds. */
-  readonly since: number;
+  /** Time at which the item was enqueued, in milliseconds. */
+  readonly enqueuedAt: number;
   readonly value: Value;
 }
 
-/** Bounds of a queue, in items. */
+/** Maximum number of queued items. */
 export interface QueueBounds {
   readonly perAccount: number;
   readonly total: number;
@@ -24,10 +24,11 @@
   deficit: number;
 }
 
+/** Tokens credited to an account of weight 1 in each round. */
 const QUANTUM = 1_000;
 
 /**
- * The queue.
+ * A deficit round robin queue; see the module comment.
  *
  * @example
  * ```ts
@@ -40,8 +41,8 @@
   private readonly bounds: () => QueueBounds;
   private readonly weightOf: (account: string) => number;
   private readonly accounts = new Map<string, AccountQueue<Value>>();
-  /** Accounts with waiting items, in the order of their turns. */
-  private turns: string[] = [];
+  /** Accounts with queued items, in round robin order. */
+  private roundRobin: string[] = [];
   private count = 0;
 
   constructor(bounds: () => QueueBounds, weightOf: (account: string) => number) {
@@ -53,7 +54,7 @@
     return this.count;
   }
 
-  /** Adds an item; false where a bound is hit, so that the caller can be told at once. */
+  /** Enqueues an item; returns false if a bound is reached. */
   push(item: QueueItem<Value>): boolean {
     const queue = this.accounts.get(item.account) ?? { items: [], deficit: 0 };
     if (this.count >= this.bounds().total || queue.items.length >= this.bounds().perAccount) {
@@ -61,7 +62,7 @@
     }
     if (queue.items.length === 0) {
       this.accounts.set(item.account, queue);
-      this.turns.push(item.account);
+      this.roundRobin.push(item.account);
     }
     queue.items.push(item);
     this.count += 1;
@@ -69,35 +70,35 @@
   }
 
   /**
-   * The item whose turn it is, left in place. One that has waited longer than `agedAfter` goes first
-   * whatever the turns say: a small account's long request would otherwise starve behind cheap ones.
+   * Returns the next item without removing it. An item queued for longer than `agingThreshold` takes precedence
+   * over the round robin order, so that an expensive request does not starve behind cheap ones.
    */
-  peek(now: number, agedAfter = Number.POSITIVE_INFINITY): QueueItem<Value> | undefined {
+  peek(now: number, agingThreshold = Number.POSITIVE_INFINITY): QueueItem<Value> | undefined {
     const aged = this.oldest();
-    if (aged !== undefined && now - aged.since > agedAfter) {
+    if (aged !== undefined && now - aged.enqueuedAt > agingThreshold) {
       return aged;
     }
-    return this.nextByTurn();
+    return this.nextByDeficit();
   }
 
   private oldest(): QueueItem<Value> | undefined {
     let oldest: QueueItem<Value> | undefined;
     for (const queue of this.accounts.values()) {
       const [head] = queue.items;
-      if (head !== undefined && (oldest === undefined || head.since < oldest.since)) {
+      if (head !== undefined && (oldest === undefined || head.enqueuedAt < oldest.enqueuedAt)) {
         oldest = head;
       }
     }
     return oldest;
   }
 
-  private nextByTurn(): QueueItem<Value> | undefined {
-    while (this.turns.length > 0) {
-      const account = this.turns[0] ?? '';
+  private nextByDeficit(): QueueItem<Value> | undefined {
+    while (this.roundRobin.length > 0) {
+      const account = this.roundRobin[0] ?? '';
       const queue = this.accounts.get(account);
       const head = queue?.items[0];
       if (queue === undefined || head === undefined) {
-        this.turns.shift();
+        this.roundRobin.shift();
         this.accounts.delete(account);
         continue;
       }
@@ -105,12 +106,12 @@
         return head;
       }
       queue.deficit += QUANTUM * this.weightOf(account);
-      this.turns.push(this.turns.shift() ?? account);
+      this.roundRobin.push(this.roundRobin.shift() ?? account);
     }
     return undefined;
   }
 
-  /** Takes an item out, whether its turn came or its caller went away. */
+  /** Removes an item; its cost is charged to the account only if it was served. */
   remove(item: QueueItem<Value>, served: boolean): void {
     const queue = this.accounts.get(item.account);
     const position = queue?.items.indexOf(item) ?? -1;
@@ -124,11 +125,11 @@
     }
     if (queue.items.length === 0) {
       this.accounts.delete(item.account);
-      this.turns = this.turns.filter((account) => account !== item.account);
+      this.roundRobin = this.roundRobin.filter((account) => account !== item.account);
     }
   }
 
-  /** Every waiting item, account by account. */
+  /** Returns all queued items, grouped by account. */
   items(): readonly QueueItem<Value>[] {
     return [...this.accounts.values()].flatMap((queue) => queue.items);
   }
--- a/packages/kumquatfront/src/admission/localPlacement.ts
+++ b/packages/kumquatfront/src/admission/localPlacement.ts
@@ -1,6 +1,6 @@
 /**
- * Placement by one entry on its own: urgent requests go out at once, patient ones wait in a fair bounded
- * queue until an engine has headroom for them.
+ * Placement by a single entry: urgent requests are dispatched immediately, patient requests wait in a bounded
+ * fair queue until an engine has headroom for them.
  */
 import type * as directory from '../directory/directory.js';
 import type * as upstreamTable from '../directory/upstreamTable.js';
@@ -17,9 +17,9 @@
 import * as headroom from './headroom.js';
 import * as memoryForecast from './memoryForecast.js';
 
-/** What the placement is made from. */
+/** Dependencies and settings of a local placement. */
 export interface LocalPlacementOptions {
-  /** Where upstreams are known; a whole directory, or a table with word of its changes. */
+  /** Source of upstreams: a full directory, or a table that reports its changes. */
   readonly directory: Pick<directory.Directory, 'table' | 'onNews' | 'onGone'>;
   readonly estimator: estimates.LengthEstimator;
   readonly health: health.Health;
@@ -30,55 +30,55 @@
   readonly headroom: headroom.HeadroomSettings;
   readonly bounds: () => fairQueue.QueueBounds;
   readonly weightOf: (account: string) => number;
-  /** Milliseconds a request waits for an upstream to announce itself before it is refused. */
+  /** Milliseconds a request waits for a usable upstream before it is refused. */
   readonly upstreamWait: number;
 }
 
-interface Waiting {
+interface QueuedRequest {
   readonly request: types.PlacementRequest;
   readonly done: (placement: types.Placement) => void;
 }
 
-/** Time after which a waiting request goes before all others, milliseconds. */
-const AGED_AFTER = 30_000;
-const PUMP_INTERVAL = 50;
-/** Engines looked at for one patient request. */
-const PATIENT_SAMPLES = 16;
-/** Tokens of headroom that a cached prefix is worth. */
-const AFFINITY_TOKENS = 500;
+/** Queueing time in milliseconds after which a request takes precedence over all others. */
+const AGING_THRESHOLD = 30_000;
+const DRAIN_INTERVAL = 50;
+/** Maximum number of engines evaluated for one patient request. */
+const MAXIMUM_SAMPLED_ENGINES = 16;
+/** Score bonus, in tokens of headroom, for an engine that has the prefix of the prompt cached. */
+const PREFIX_AFFINITY_TOKENS = 500;
 
-/** The placement of one process; see the module comment. */
+/** Places requests using the state of this process only; see the module comment. */
 export class LocalPlacement implements types.PlacementPolicy {
-  readonly ledger = new dispatchLedger.DispatchLedger();
+  readonly dispatches = new dispatchLedger.DispatchLedger();
   private readonly options: LocalPlacementOptions;
   private readonly headroom = new headroom.Headroom();
-  private readonly queues = new Map<string, fairQueue.FairQueue<Waiting>>();
-  private readonly rate: drainRate.DrainRate;
-  private readonly withoutUpstream = new Set<() => void>();
+  private readonly queues = new Map<string, fairQueue.FairQueue<QueuedRequest>>();
+  private readonly drainRate: drainRate.DrainRate;
+  private readonly upstreamWaiters = new Set<() => void>();
 
   constructor(options: LocalPlacementOptions) {
     this.options = options;
-    this.rate = new drainRate.DrainRate(options.timers.now());
+    this.drainRate = new drainRate.DrainRate(options.timers.now());
     options.timers.every(
-      () => PUMP_INTERVAL,
+      () => DRAIN_INTERVAL,
       () => {
-        this.pump();
+        this.drainQueues();
       },
     );
     options.directory.onNews(() => {
-      for (const retry of [...this.withoutUpstream]) {
+      for (const retry of [...this.upstreamWaiters]) {
         retry();
       }
     });
     options.directory.onGone((name) => {
-      this.ledger.forgetUpstream(name);
-      this.headroom.forget(name);
+      this.dispatches.removeUpstream(name);
+      this.headroom.removeUpstream(name);
     });
   }
 
   place(request: types.PlacementRequest, done: (placement: types.Placement) => void): ports.Cancel {
     if (request.urgency === 'urgent' || request.kind === 'plainService') {
-      return this.whenUsable(request, done, () => {
+      return this.runWhenUsable(request, done, () => {
         this.placeUrgent(request, this.candidates(request), done);
         return () => undefined;
       });
@@ -88,29 +88,38 @@
 
   /** Queues a patient request until an engine has headroom for it. */
   placePatient(request: types.PlacementRequest, done: (placement: types.Placement) => void): ports.Cancel {
-    return this.whenUsable(request, done, () => this.enqueue(request, done));
+    return this.runWhenUsable(request, done, () => this.enqueue(request, done));
   }
 
-  /** Goes on at once where an upstream is usable, or as soon as one is. */
-  whenUsable(
+  /** Calls `resume` as soon as an upstream is usable, immediately if one is. */
+  runWhenUsable(
     request: types.PlacementRequest,
     done: (placement: types.Placement) => void,
-    goOn: () => ports.Cancel,
+    resume: () => ports.Cancel,
   ): ports.Cancel {
-    return this.hasUsable(request) ? goOn() : this.waitForUpstream(request, done, goOn);
+    return this.hasUsableUpstream(request) ? resume() : this.waitForUpstream(request, done, resume);
   }
 
-  private hasUsable(request: types.PlacementRequest): boolean {
+  private hasUsableUpstream(request: types.PlacementRequest): boolean {
     const context = this.context();
     return this.candidates(request).some((candidate) => choice.isUsable(request, candidate, context));
   }
 
-  /** Counts a dispatch that another process has made. */
+  /** Records a dispatch made by another process. */
   adopt(
-    running: Pick<types.OwnDispatch, 'requestId' | 'upstream' | 'promptTokens' | 'estimateKeys' | 'produced'>,
+    running: Pick<
+      types.DispatchRecord,
+      'requestId' | 'upstream' | 'promptTokens' | 'estimateKeys' | 'produced'
+    >,
   ): void {
     const now = this.options.timers.now();
-    this.ledger.adopt({ ...running, urgency: 'patient', since: now, progressedAt: now, rate: 0 });
+    this.dispatches.importDispatch({
+      ...running,
+      urgency: 'patient',
+      dispatchedAt: now,
+      lastProgressAt: now,
+      rate: 0,
+    });
   }
 
   private placeUrgent(
@@ -127,122 +136,128 @@
   }
 
   /**
-   * Waits a short while for an upstream: after a restart of every entry at once the list fills up within
-   * seconds, and refusing in between would turn a restart into an outage.
+   * Waits for a usable upstream for a limited time. After a simultaneous restart of all entries the upstream
+   * table is empty for some seconds; refusing requests meanwhile would turn the restart into an outage.
    */
   private waitForUpstream(
     request: types.PlacementRequest,
     done: (placement: types.Placement) => void,
-    goOn: () => ports.Cancel,
+    resume: () => ports.Cancel,
   ): ports.Cancel {
-    let cancelInner: ports.Cancel = () => undefined;
+    let cancelResumed: ports.Cancel = () => undefined;
     const stopWaiting = (): void => {
-      this.withoutUpstream.delete(retry);
+      this.upstreamWaiters.delete(retry);
       cancelTimer();
     };
     const retry = (): void => {
-      if (this.hasUsable(request)) {
+      if (this.hasUsableUpstream(request)) {
         stopWaiting();
-        cancelInner = goOn();
+        cancelResumed = resume();
       }
     };
     const cancelTimer = this.options.timers.after(this.options.upstreamWait, () => {
       stopWaiting();
       done({ type: 'refused', refusal: { reason: 'noUpstream', retryAfter: this.options.upstreamWait } });
     });
-    this.withoutUpstream.add(retry);
+    this.upstreamWaiters.add(retry);
     return () => {
       stopWaiting();
-      cancelInner();
+      cancelResumed();
     };
   }
 
   private enqueue(request: types.PlacementRequest, done: (placement: types.Placement) => void): ports.Cancel {
-    const queue = this.queueOf(`${request.deployment}/${request.group?.index ?? 0}`);
+    const queue = this.getOrCreateQueue(`${request.deployment}/${request.group?.index ?? 0}`);
     const cost = request.promptTokens + this.options.estimator.quantile(request.estimateKeys, 0, 0.5);
     const item = {
       account: request.account,
       cost,
-      since: this.options.timers.now(),
+      enqueuedAt: this.options.timers.now(),
       value: { request, done },
     };
     if (!queue.push(item)) {
-      const retryAfter = this.rate.timeFor(queue.size, this.options.timers.now());
+      const retryAfter = this.drainRate.estimateWait(queue.size, this.options.timers.now());
       done({ type: 'refused', refusal: { reason: 'queueFull', retryAfter } });
       return () => undefined;
     }
-    this.pumpQueue(queue);
+    this.drainQueue(queue);
     return () => {
       queue.remove(item, false);
     };
   }
 
-  private queueOf(name: string): fairQueue.FairQueue<Waiting> {
-    const known = this.queues.get(name);
-    if (known !== undefined) {
-      return known;
+  private getOrCreateQueue(name: string): fairQueue.FairQueue<QueuedRequest> {
+    const existing = this.queues.get(name);
+    if (existing !== undefined) {
+      return existing;
     }
-    const queue = new fairQueue.FairQueue<Waiting>(this.options.bounds, this.options.weightOf);
+    const queue = new fairQueue.FairQueue<QueuedRequest>(this.options.bounds, this.options.weightOf);
     this.queues.set(name, queue);
     return queue;
   }
 
-  private pump(): void {
+  private drainQueues(): void {
     for (const queue of this.queues.values()) {
-      this.pumpQueue(queue);
+      this.drainQueue(queue);
     }
   }
 
-  private pumpQueue(queue: fairQueue.FairQueue<Waiting>): void {
+  private drainQueue(queue: fairQueue.FairQueue<QueuedRequest>): void {
     const now = this.options.timers.now();
-    for (let item = queue.peek(now, AGED_AFTER); item !== undefined; item = queue.peek(now, AGED_AFTER)) {
-      const upstream = this.findRoom(item.value.request);
+    for (
+      let item = queue.peek(now, AGING_THRESHOLD);
+      item !== undefined;
+      item = queue.peek(now, AGING_THRESHOLD)
+    ) {
+      const upstream = this.findUpstreamWithHeadroom(item.value.request);
       if (upstream === undefined) {
         return;
       }
       queue.remove(item, true);
-      this.rate.granted(now);
+      this.drainRate.recordGrant(now);
       this.grant(item.value, upstream);
     }
   }
 
-  private findRoom(request: types.PlacementRequest): upstreamTable.UpstreamRecord | undefined {
+  private findUpstreamWithHeadroom(
+    request: types.PlacementRequest,
+  ): upstreamTable.UpstreamRecord | undefined {
     const context = this.context();
-    const { estimator, directory: known, headroom: settings } = this.options;
-    const headroomContext = { ledger: this.ledger, estimator, settings, now: context.now };
+    const { estimator, directory: upstreams, headroom: settings } = this.options;
+    const headroomContext = { dispatches: this.dispatches, estimator, settings, now: context.now };
     const survival = estimator.survival(request.estimateKeys, 0, memoryForecast.HORIZONS);
     let best: upstreamTable.UpstreamRecord | undefined;
-    let bestRoom = 0;
-    for (const candidate of this.sample(this.candidates(request))) {
+    let bestScore = 0;
+    for (const candidate of this.sampleCandidates(this.candidates(request))) {
       if (!choice.isUsable(request, candidate, context)) {
         continue;
       }
-      const room = this.headroom.after(candidate, request, survival, headroomContext);
-      const cached = known.table.hasPrefix(candidate.announcement.name, request.prefix);
-      const worth = room + (cached ? AFFINITY_TOKENS : 0);
-      if (room >= 0 && (best === undefined || worth > bestRoom)) {
+      const freeTokens = this.headroom.freeTokensAfterPlacing(candidate, request, survival, headroomContext);
+      const cached = upstreams.table.hasPrefix(candidate.announcement.name, request.prefix);
+      const score = freeTokens + (cached ? PREFIX_AFFINITY_TOKENS : 0);
+      if (freeTokens >= 0 && (best === undefined || score > bestScore)) {
         best = candidate;
-        bestRoom = worth;
+        bestScore = score;
       }
     }
     return best;
   }
 
-  private sample(
+  private sampleCandidates(
     candidates: readonly upstreamTable.UpstreamRecord[],
   ): readonly upstreamTable.UpstreamRecord[] {
-    if (candidates.length <= PATIENT_SAMPLES) {
+    if (candidates.length <= MAXIMUM_SAMPLED_ENGINES) {
       return candidates;
     }
     const start = Math.floor(this.options.random.next() * candidates.length);
-    const doubled = [...candidates.slice(start), ...candidates.slice(0, start)];
-    return doubled.slice(0, PATIENT_SAMPLES);
+    const rotated = [...candidates.slice(start), ...candidates.slice(0, start)];
+    return rotated.slice(0, MAXIMUM_SAMPLED_ENGINES);
   }
 
-  private grant(waiting: Waiting, upstream: upstreamTable.UpstreamRecord): void {
+  private grant(waiting: QueuedRequest, upstream: upstreamTable.UpstreamRecord): void {
     const now = this.options.timers.now();
     const { name } = upstream.announcement;
-    this.ledger.dispatched(waiting.request, name, now);
+    this.dispatches.dispatched(waiting.request, name, now);
     this.options.health.dispatched(name, now);
     waiting.done({ type: 'granted', upstream });
   }
@@ -256,21 +271,27 @@
     return all.filter((record) => rendezvous.hash(record.announcement.name) % group.count === group.index);
   }
 
-  private context(): choice.ChoiceContext {
-    const { directory: known, health, random, timers } = this.options;
-    return { now: timers.now(), table: known.table, ledger: this.ledger, health, random };
+  private context(): choice.BalancingContext {
+    const { directory: upstreams, health, random, timers } = this.options;
+    return {
+      now: timers.now(),
+      table: upstreams.table,
+      dispatches: this.dispatches,
+      outlierDetector: health,
+      random,
+    };
   }
 
   progressed(requestId: string, produced: number): void {
-    this.ledger.progressed(requestId, produced, this.options.timers.now());
+    this.dispatches.recordProgress(requestId, produced, this.options.timers.now());
   }
 
   finished(requestId: string, produced: number, whole: boolean): void {
-    const dispatch = this.ledger.finished(requestId);
+    const dispatch = this.dispatches.remove(requestId);
     if (dispatch !== undefined && whole && produced > 0) {
       this.options.estimator.observe(dispatch.estimateKeys, produced);
     }
-    this.pump();
+    this.drainQueues();
   }
 
   waiting(): number {
--- a/packages/kumquatfront/src/admission/memoryForecast.ts
+++ b/packages/kumquatfront/src/admission/memoryForecast.ts
@@ -1,42 +1,42 @@
 /**
- * Forecast of the memory that running generations will hold together. Each grows a token a step while it
- * lives, and nobody knows for how long; what is known is how likely it is to be alive some steps from now.
- * So the memory at a horizon is a sum of independent terms, whose mean and spread are known.
+ * Forecasts the total memory of the generations running on an engine. A generation grows by one token per step
+ * until it ends, at an unknown step with known survival probabilities. The memory at each horizon is therefore
+ * modelled as a sum of independent random variables, by its mean and variance.
  */
 
-/** Steps ahead at which the forecast looks; between two of them little can be hidden. */
+/** Numbers of steps ahead at which memory is forecast. */
 export const HORIZONS: readonly number[] = [0, 30, 60, 120, 240, 480, 960, 1_920, 3_840];
 
-/** A running generation as the forecast sees it. */
-export interface ForecastItem {
-  /** Tokens held now: prompt and output so far. */
-  readonly held: number;
-  /** Probability to be alive at each of the horizons. */
+/** Memory and survival of one running generation. */
+export interface GenerationMemory {
+  /** Tokens currently in memory: the prompt and the output so far. */
+  readonly heldTokens: number;
+  /** Probability that the generation is still running at each horizon. */
   readonly survival: readonly number[];
 }
 
-/** Mean and variance of the memory at each horizon. */
+/** Mean and variance of the total memory at each horizon. */
 export interface Forecast {
   readonly means: Float64Array;
   readonly variances: Float64Array;
 }
 
 /**
- * Sums up what runs.
+ * Forecasts the memory of a set of generations.
  *
- * @param items - what runs
- * @returns the forecast, to which one more can be added
+ * @param items - the running generations
+ * @returns the forecast
  * @example
  * ```ts
  * const forecast = memoryForecast.of(running);
  * ```
  */
-export function of(items: Iterable<ForecastItem>): Forecast {
+export function forGenerations(items: Iterable<GenerationMemory>): Forecast {
   const forecast = { means: new Float64Array(HORIZONS.length), variances: new Float64Array(HORIZONS.length) };
   for (const item of items) {
     for (const [position, steps] of HORIZONS.entries()) {
       const alive = item.survival[position] ?? 0;
-      const size = item.held + steps;
+      const size = item.heldTokens + steps;
       forecast.means[position] = (forecast.means[position] ?? 0) + alive * size;
       forecast.variances[position] = (forecast.variances[position] ?? 0) + alive * (1 - alive) * size * size;
     }
@@ -45,23 +45,23 @@
 }
 
 /**
- * The highest memory over all horizons, with one more generation, that is not exceeded but with a small
- * probability.
+ * Returns the peak memory over all horizons with one more generation added, at a confidence level given in standard
+ * deviations.
  *
- * @param forecast - what runs
- * @param added - what would be added
- * @param deviations - standard deviations above the mean that are reckoned with
- * @returns tokens
+ * @param forecast - forecast of the running generations
+ * @param added - the generation to add
+ * @param deviations - number of standard deviations above the mean
+ * @returns the peak in tokens
  * @example
  * ```ts
- * memoryForecast.peakWith(memoryForecast.of([]), { held: 100, survival: memoryForecast.HORIZONS.map(() => 0) }, 1);
+ * memoryForecast.peakWith(memoryForecast.of([]), { heldTokens: 100, survival: memoryForecast.HORIZONS.map(() => 0) }, 1);
  * ```
  */
-export function peakWith(forecast: Forecast, added: ForecastItem, deviations: number): number {
+export function peakWith(forecast: Forecast, added: GenerationMemory, deviations: number): number {
   let highest = 0;
   for (let position = 0; position < HORIZONS.length; position += 1) {
     const alive = added.survival[position] ?? 0;
-    const size = added.held + (HORIZONS[position] ?? 0);
+    const size = added.heldTokens + (HORIZONS[position] ?? 0);
     const mean = (forecast.means[position] ?? 0) + alive * size;
     const variance = (forecast.variances[position] ?? 0) + alive * (1 - alive) * size * size;
     highest = Math.max(highest, mean + deviations * Math.sqrt(variance));
--- a/packages/kumquatfront/src/admission/placementCoordinator.ts
+++ b/packages/kumquatfront/src/admission/placementCoordinator.ts
@@ -1,6 +1,6 @@
 /**
- * The coordinator's side: places the patient requests of all entries on one group of engines, in one fair
- * queue, with one ledger. Its state is soft: askers repeat what it must know.
+ * Coordinator side of coordinated placement: places the patient requests of all entries on one group of engines,
+ * using one fair queue and one set of dispatch records. It keeps soft state only, which entries refresh by resending.
  */
 import type * as ports from '../kernel/ports.js';
 import * as results from '../kernel/results.js';
@@ -9,123 +9,128 @@
 import * as messages from './coordinationMessages.js';
 import type * as localPlacement from './localPlacement.js';
 
-interface Known {
-  readonly from: string;
-  answer: messages.AskAnswer;
-  heardAt: number;
+interface TrackedRequest {
+  readonly requesterAddress: string;
+  answer: messages.CoordinatorAnswer;
+  lastSeenAt: number;
   cancel: ports.Cancel;
 }
 
-/** Silence of an asker after which its requests are forgotten, milliseconds. */
-const FORGET_AFTER = 6_000;
+/** Milliseconds without a message about a request after which it is discarded. */
+const REQUEST_RETENTION = 6_000;
 const SWEEP_INTERVAL = 1_000;
 
-/** The coordinator; see the module comment. */
+/** Coordinates placement on groups of engines; see the module comment. */
 export class PlacementCoordinator {
-  private readonly local: localPlacement.LocalPlacement;
+  private readonly placement: localPlacement.LocalPlacement;
   private readonly peers: ports.PeerTransport;
   private readonly timers: timerService.TimerService;
-  private readonly known = new Map<string, Known>();
+  private readonly requests = new Map<string, TrackedRequest>();
 
   constructor(
-    local: localPlacement.LocalPlacement,
+    placement: localPlacement.LocalPlacement,
     peers: ports.PeerTransport,
     timers: timerService.TimerService,
   ) {
-    this.local = local;
+    this.placement = placement;
     this.peers = peers;
     this.timers = timers;
     peers.serve(messages.methods.ask, (parameters, reply) => {
-      reply(results.Ok(this.onAsk(parameters as messages.Ask)));
+      reply(results.Ok(this.handleRequest(parameters as messages.CoordinatorRequest)));
     });
     peers.serve(messages.methods.progress, (parameters) => {
-      this.onProgress(parameters as messages.Progress);
+      this.onProgress(parameters as messages.ProgressReport);
     });
     peers.serve(messages.methods.finished, (parameters) => {
-      this.onFinished(parameters as messages.Finished);
+      this.onFinished(parameters as messages.FinishNotification);
     });
     peers.serve(messages.methods.withdrawn, (parameters) => {
-      this.forget((parameters as messages.Finished).requestId);
+      this.discard((parameters as messages.FinishNotification).requestId);
     });
     timers.every(
       () => SWEEP_INTERVAL,
       () => {
-        this.sweep();
+        this.removeExpired();
       },
     );
   }
 
-  /** Takes a request; a repeat gets what the first one came to, and is not queued twice. */
-  onAsk(ask: messages.Ask): messages.AskAnswer {
-    const { requestId } = ask.request;
-    const before = this.known.get(requestId);
-    if (before !== undefined) {
-      before.heardAt = this.timers.now();
-      return before.answer;
+  /** Handles a placement request; a resent request gets the current answer and is not queued twice. */
+  handleRequest(message: messages.CoordinatorRequest): messages.CoordinatorAnswer {
+    const { requestId } = message.request;
+    const existing = this.requests.get(requestId);
+    if (existing !== undefined) {
+      existing.lastSeenAt = this.timers.now();
+      return existing.answer;
     }
-    const known: Known = {
-      from: ask.from,
+    const tracked: TrackedRequest = {
+      requesterAddress: message.from,
       answer: { state: 'waiting' },
-      heardAt: this.timers.now(),
+      lastSeenAt: this.timers.now(),
       cancel: () => undefined,
     };
-    this.known.set(requestId, known);
-    const request = { ...ask.request, exclude: new Set(ask.request.exclude) };
-    known.cancel = this.local.placePatient(request, (placement) => {
-      this.onPlaced(requestId, known, placement);
+    this.requests.set(requestId, tracked);
+    const request = { ...message.request, exclude: new Set(message.request.exclude) };
+    tracked.cancel = this.placement.placePatient(request, (placement) => {
+      this.onPlaced(requestId, tracked, placement);
     });
-    return known.answer;
+    return tracked.answer;
   }
 
-  private onPlaced(requestId: string, known: Known, placement: routing.Placement): void {
-    known.answer =
+  private onPlaced(requestId: string, tracked: TrackedRequest, placement: routing.Placement): void {
+    tracked.answer =
       placement.type === 'granted'
         ? { state: 'granted', announcement: placement.upstream.announcement }
         : { state: 'refused', refusal: placement.refusal };
     if (placement.type === 'refused') {
-      this.known.delete(requestId);
+      this.requests.delete(requestId);
     }
-    const word: messages.Granted = { requestId, answer: known.answer };
-    this.peers.notify(known.from, messages.methods.granted, word);
+    const notification: messages.GrantNotification = { requestId, answer: tracked.answer };
+    this.peers.notify(tracked.requesterAddress, messages.methods.granted, notification);
   }
 
-  private onProgress(progress: messages.Progress): void {
+  private onProgress(progress: messages.ProgressReport): void {
     const now = this.timers.now();
     for (const running of progress.running) {
-      const known = this.known.get(running.requestId);
-      if (known !== undefined) {
-        known.heardAt = now;
+      const tracked = this.requests.get(running.requestId);
+      if (tracked !== undefined) {
+        tracked.lastSeenAt = now;
       } else {
-        // Granted by a former coordinator: from here on it counts in this ledger.
-        const answer: messages.AskAnswer = { state: 'waiting' };
-        this.known.set(running.requestId, { from: '', answer, heardAt: now, cancel: () => undefined });
-        this.local.adopt(running);
+        // Granted by a previous coordinator; record the dispatch here as well.
+        const answer: messages.CoordinatorAnswer = { state: 'waiting' };
+        this.requests.set(running.requestId, {
+          requesterAddress: '',
+          answer,
+          lastSeenAt: now,
+          cancel: () => undefined,
+        });
+        this.placement.adopt(running);
       }
-      this.local.progressed(running.requestId, running.produced);
+      this.placement.progressed(running.requestId, running.produced);
     }
   }
 
-  /** A request has left its engine. */
-  onFinished(finished: messages.Finished): void {
-    if (this.known.delete(finished.requestId)) {
-      this.local.finished(finished.requestId, finished.produced, finished.whole);
+  /** Handles the notification that a request has left its engine. */
+  onFinished(finished: messages.FinishNotification): void {
+    if (this.requests.delete(finished.requestId)) {
+      this.placement.finished(finished.requestId, finished.produced, finished.whole);
     }
   }
 
-  /** A request is given up, or its asker has died. */
-  forget(requestId: string): void {
-    const known = this.known.get(requestId);
-    this.known.delete(requestId);
-    known?.cancel();
-    this.local.finished(requestId, 0, false);
+  /** Discards a request that was withdrawn or whose entry has stopped. */
+  discard(requestId: string): void {
+    const tracked = this.requests.get(requestId);
+    this.requests.delete(requestId);
+    tracked?.cancel();
+    this.placement.finished(requestId, 0, false);
   }
 
-  /** An entry that died says nothing more; what it ran must not hold memory in the ledger for ever. */
-  private sweep(): void {
+  /** Discards requests of crashed entries; their dispatch records would otherwise reserve memory forever. */
+  private removeExpired(): void {
     const now = this.timers.now();
-    for (const [requestId, known] of this.known) {
-      if (now - known.heardAt > FORGET_AFTER) {
-        this.forget(requestId);
+    for (const [requestId, tracked] of this.requests) {
+      if (now - tracked.lastSeenAt > REQUEST_RETENTION) {
+        this.discard(requestId);
       }
     }
   }
--- a/packages/kumquatfront/src/routing/choice.ts
+++ b/packages/kumquatfront/src/routing/choice.ts
@@ -1,6 +1,6 @@
 /**
- * Choice of an upstream among candidates: two random ones and the one that may have the prompt's prefix
- * cached are compared by what they are predicted to hold.
+ * Load balancing between upstreams: power of two random choices by predicted occupancy, with affinity to an upstream
+ * that has the prefix of the prompt cached.
  */
 import type * as upstreamTable from '../directory/upstreamTable.js';
 import type * as ports from '../kernel/ports.js';
@@ -8,64 +8,64 @@
 import type * as health from './health.js';
 import type * as types from './types.js';
 
-/** What a choice looks at. */
-export interface ChoiceContext {
+/** State that a balancing policy uses. */
+export interface BalancingContext {
   readonly now: number;
   readonly table: upstreamTable.UpstreamTable;
-  readonly ledger: dispatchLedger.DispatchLedger;
-  readonly health: health.Health;
+  readonly dispatches: dispatchLedger.DispatchLedger;
+  readonly outlierDetector: health.Health;
   readonly random: ports.Random;
 }
 
-/** Picks one of the candidates; undefined where none may be used. */
+/** Selects one of the candidates; returns undefined if none is usable. */
 export type Choose = (
   request: types.PlacementRequest,
   candidates: readonly upstreamTable.UpstreamRecord[],
-  context: ChoiceContext,
+  context: BalancingContext,
 ) => upstreamTable.UpstreamRecord | undefined;
 
-/** An upstream with the prefix cached is taken while its score is at most this much above the best. */
-const AFFINITY_ALLOWANCE = 0.25;
-const SAMPLES = 2;
-const SAMPLE_TRIES = 8;
+/** Maximum occupancy above the best candidate at which an upstream with the cached prefix is preferred. */
+const MAXIMUM_AFFINITY_PENALTY = 0.25;
+const SAMPLE_SIZE = 2;
+const MAXIMUM_SAMPLE_ATTEMPTS = 8;
 
 /**
- * Tells whether an upstream may be used for a request.
+ * Reports whether an upstream may be used for a request.
  *
  * @param request - the request
  * @param upstream - the candidate
- * @param context - what is known
- * @returns false for one that has failed this request, is ejected or has no lease left
+ * @param context - current state
+ * @returns false if it has failed this request, is ejected or its lease has expired
  * @example
  * ```ts
- * candidates.filter((upstream) => choice.isUsable(request, upstream, context));
+ * candidates.filter((upstream) => balancingPolicy.isUsable(request, upstream, context));
  * ```
  */
 export function isUsable(
   request: types.PlacementRequest,
   upstream: upstreamTable.UpstreamRecord,
-  context: ChoiceContext,
+  context: BalancingContext,
 ): boolean {
   const { name } = upstream.announcement;
   const leased = upstream.expiresAt > context.now;
-  return leased && !request.exclude.has(name) && !context.health.isEjected(name, context.now);
+  return leased && !request.exclude.has(name) && !context.outlierDetector.isEjected(name, context.now);
 }
 
 /**
- * Predicted occupancy of an upstream: the fuller of its slots and its memory, counting what this entry has
- * sent since the last report. Without that, every request of a report interval would go to the same one.
+ * Predicts the occupancy of an upstream: the higher of its slot and memory usage, including what this entry has sent
+ * since the last load report. Without these, all requests of a report interval would go to the same upstream.
  *
  * @param upstream - the upstream
- * @param context - what is known
- * @returns 0 for an idle one, about 1 for a full one
+ * @param context - current state
+ * @returns 0 if idle, about 1 if full
  * @example
  * ```ts
- * const score = choice.occupancy(upstream, context);
+ * const score = balancingPolicy.occupancy(upstream, context);
  * ```
  */
-export function occupancy(upstream: upstreamTable.UpstreamRecord, context: ChoiceContext): number {
+export function occupancy(upstream: upstreamTable.UpstreamRecord, context: BalancingContext): number {
   const { name, slots, memoryTokens } = upstream.announcement;
-  const own = context.ledger.countSince(name, upstream.loadAt);
+  const own = context.dispatches.countSince(name, upstream.loadAt);
   const reported = upstream.load;
   const running = (reported?.running ?? 0) + (reported?.waiting ?? 0) + own;
   const slotShare = slots > 0 ? running / slots : running / 100;
@@ -76,28 +76,28 @@
   return Math.max(slotShare, (reported.usedTokens + own * perRunning) / memoryTokens);
 }
 
-function sample(
+function sampleUsable(
   request: types.PlacementRequest,
   candidates: readonly upstreamTable.UpstreamRecord[],
-  context: ChoiceContext,
+  context: BalancingContext,
 ): readonly upstreamTable.UpstreamRecord[] {
   const picked = new Set<upstreamTable.UpstreamRecord>();
-  for (let attempt = 0; attempt < SAMPLE_TRIES && picked.size < SAMPLES; attempt += 1) {
+  for (let attempt = 0; attempt < MAXIMUM_SAMPLE_ATTEMPTS && picked.size < SAMPLE_SIZE; attempt += 1) {
     const candidate = candidates[Math.floor(context.random.next() * candidates.length)];
     if (candidate !== undefined && isUsable(request, candidate, context)) {
       picked.add(candidate);
     }
   }
-  // Random tries can miss the last usable upstream among many that are ejected; a scan cannot.
+  // Random sampling can miss the only usable upstreams among many ejected ones; fall back to a full scan.
   return picked.size > 0
     ? [...picked]
     : candidates.filter((candidate) => isUsable(request, candidate, context));
 }
 
-function withPrefix(
+function findCachedPrefix(
   request: types.PlacementRequest,
   candidates: readonly upstreamTable.UpstreamRecord[],
-  context: ChoiceContext,
+  context: BalancingContext,
 ): upstreamTable.UpstreamRecord | undefined {
   if (request.prefix === '') {
     return undefined;
@@ -110,29 +110,29 @@
 }
 
 /**
- * Two random choices by predicted occupancy, with prefix affinity bounded by load.
+ * Selects the less occupied of two random candidates, or one with the cached prefix if its load is close to that.
  *
- * @param request - what is to be placed
+ * @param request - the request to place
  * @param candidates - upstreams of its deployment
- * @param context - what is known of them
- * @returns the choice; undefined where none may be used
+ * @param context - current state
+ * @returns the selected upstream; undefined if none is usable
  * @example
  * ```ts
- * const upstream = choice.chooseOfTwo(request, directory.table.candidates('app=ledger-llm'), context);
+ * const upstream = balancingPolicy.powerOfTwoChoices(request, directory.table.candidates('app=ledger-llm'), context);
  * ```
  */
 export const chooseOfTwo: Choose = (request, candidates, context) => {
   let best: upstreamTable.UpstreamRecord | undefined;
   let bestScore = Number.POSITIVE_INFINITY;
-  for (const candidate of sample(request, candidates, context)) {
+  for (const candidate of sampleUsable(request, candidates, context)) {
     const score = occupancy(candidate, context);
     if (score < bestScore) {
       best = candidate;
       bestScore = score;
     }
   }
-  const cached = withPrefix(request, candidates, context);
-  if (cached !== undefined && occupancy(cached, context) <= bestScore + AFFINITY_ALLOWANCE) {
+  const cached = findCachedPrefix(request, candidates, context);
+  if (cached !== undefined && occupancy(cached, context) <= bestScore + MAXIMUM_AFFINITY_PENALTY) {
     return cached;
   }
   return best;
--- a/packages/kumquatfront/src/routing/health.ts
+++ b/packages/kumquatfront/src/routing/health.ts
@@ -1,39 +1,39 @@
 /**
- * Health of upstreams as this entry has felt it: failures and stalls eject an upstream for a while that
- * doubles with each relapse; afterwards one request at a time tries it again.
+ * Outlier detection of upstreams, based on the failures and stalls that this process observes. An upstream is ejected
+ * for a time that doubles with each ejection; afterwards it is probed with one request at a time.
  */
 
-/** Settings of the ejection; times in milliseconds. */
+/** Settings of outlier detection; times in milliseconds. */
 export interface HealthSettings {
   readonly firstEjection: number;
   readonly longestEjection: number;
-  /** Failures in a row that eject an upstream; a stall ejects it at once. */
+  /** Consecutive failures after which an upstream is ejected; a stall ejects it immediately. */
   readonly failuresBeforeEjection: number;
 }
 
-/** Settings that suit engines which restart within seconds. */
+/** Default settings, for engines that restart within seconds. */
 export const defaultSettings: HealthSettings = {
   firstEjection: 2_000,
   longestEjection: 60_000,
   failuresBeforeEjection: 2,
 };
 
-interface HealthRecord {
+interface EjectionState {
   failures: number;
   ejections: number;
   ejectedUntil: number;
-  trialUntil: number;
+  probeUntil: number;
 }
 
-/** What went wrong with an upstream. */
+/** The kind of failure observed at an upstream. */
 export type HealthEvent = 'failure' | 'stall';
 
-const TRIAL_LENGTH = 2_000;
+const PROBE_TIMEOUT = 2_000;
 
-/** Health of every upstream; see the module comment. */
+/** Ejects and probes unhealthy upstreams; see the module comment. */
 export class Health {
   private readonly settings: HealthSettings;
-  private readonly records = new Map<string, HealthRecord>();
+  private readonly records = new Map<string, EjectionState>();
 
   constructor(settings: HealthSettings = defaultSettings) {
     this.settings = settings;
@@ -44,11 +44,11 @@
   }
 
   /**
-   * Notes a failure. A stall counts as worse than a refused connection: a dead upstream costs one
-   * connection attempt, a frozen one costs its callers the whole stall timeout each.
+   * Records a failure. A stall ejects immediately: a crashed upstream costs one refused connection, but a frozen
+   * one delays every caller by the full stall timeout.
    */
   failed(name: string, event: HealthEvent, now: number): void {
-    const record = this.records.get(name) ?? { failures: 0, ejections: 0, ejectedUntil: 0, trialUntil: 0 };
+    const record = this.records.get(name) ?? { failures: 0, ejections: 0, ejectedUntil: 0, probeUntil: 0 };
     record.failures += 1;
     if (event === 'stall' || record.failures >= this.settings.failuresBeforeEjection) {
       const length = this.settings.firstEjection * 2 ** record.ejections;
@@ -65,14 +65,14 @@
 
   isEjected(name: string, now: number): boolean {
     const record = this.records.get(name);
-    return record !== undefined && (record.ejectedUntil > now || record.trialUntil > now);
+    return record !== undefined && (record.ejectedUntil > now || record.probeUntil > now);
   }
 
-  /** Notes that a request goes to an upstream; one that comes back from ejection gets one at a time. */
+  /** Records a dispatch; an upstream that returns from ejection receives one request per probe timeout. */
   dispatched(name: string, now: number): void {
     const record = this.records.get(name);
     if (record !== undefined && record.ejections > 0) {
-      record.trialUntil = now + TRIAL_LENGTH;
+      record.probeUntil = now + PROBE_TIMEOUT;
     }
   }
 }
--- a/packages/kumquatfront/src/routing/retryBudget.ts
+++ b/packages/kumquatfront/src/routing/retryBudget.ts
@@ -1,47 +1,48 @@
 /**
- * Retry budget per client account: retries are paid for by requests, so that an overload is not multiplied
- * by trying again.
+ * Retry budget per client account. Requests earn tokens and retries spend them, so that retries cannot amplify an
+ * overload.
  */
 
-const MAXIMUM_SAVED = 10;
-const ACCOUNTS_KEPT = 5_000;
+const MAXIMUM_TOKENS = 10;
+const MAXIMUM_ACCOUNTS = 5_000;
 
 /**
- * The budgets.
+ * Token buckets of all client accounts.
  *
  * @example
  * ```ts
- * const budget = new retryBudget.RetryBudget(20);
- * budget.requested('school-1');
- * budget.mayRetry('school-1'); // takes one from the budget
+ * const budget = new accountRetryBudget.AccountRetryBudget(20);
+ * budget.recordRequest('school-1');
+ * budget.mayRetry('school-1'); // spends a token
  * ```
  */
 export class RetryBudget {
-  private readonly perRequest: number;
-  private readonly saved = new Map<string, number>();
+  private readonly tokensPerRequest: number;
+  private readonly tokensByAccount = new Map<string, number>();
 
   /**
-   * @param percent - retries allowed for each hundred requests of an account
+   * @param percent - retries allowed per hundred requests of an account
    */
   constructor(percent: number) {
-    this.perRequest = percent / 100;
+    this.tokensPerRequest = percent / 100;
   }
 
   requested(account: string): void {
-    const saved = this.saved.get(account) ?? MAXIMUM_SAVED;
-    this.saved.delete(account);
-    this.saved.set(account, Math.min(MAXIMUM_SAVED, saved + this.perRequest));
-    if (this.saved.size > ACCOUNTS_KEPT) {
-      this.saved.delete(this.saved.keys().next().value ?? '');
+    const tokens = this.tokensByAccount.get(account) ?? MAXIMUM_TOKENS;
+    this.tokensByAccount.delete(account);
+    this.tokensByAccount.set(account, Math.min(MAXIMUM_TOKENS, tokens + this.tokensPerRequest));
+    if (this.tokensByAccount.size > MAXIMUM_ACCOUNTS) {
+      this.tokensByAccount.delete(this.tokensByAccount.keys().next().value ?? '');
     }
   }
 
+  /** Spends one token if available; returns false if the budget is exhausted. */
   mayRetry(account: string): boolean {
-    const saved = this.saved.get(account) ?? MAXIMUM_SAVED;
-    if (saved < 1) {
+    const tokens = this.tokensByAccount.get(account) ?? MAXIMUM_TOKENS;
+    if (tokens < 1) {
       return false;
     }
-    this.saved.set(account, saved - 1);
+    this.tokensByAccount.set(account, tokens - 1);
     return true;
   }
 }
--- a/packages/kumquatfront/src/routing/types.ts
+++ b/packages/kumquatfront/src/routing/types.ts
@@ -1,12 +1,12 @@
 /**
- * Placement: which upstream a request goes to, and when.
+ * Types of request placement: which upstream a request is sent to, and when.
  */
 import type * as configuration from '../configuration/types.js';
 import type * as upstreamTable from '../directory/upstreamTable.js';
 import type * as estimates from '../estimates/lengthEstimator.js';
 import type * as ports from '../kernel/ports.js';
 
-/** What the choice of an upstream depends on. */
+/** The properties of a request that determine its placement. */
 export interface PlacementRequest {
   readonly requestId: string;
   readonly account: string;
@@ -15,58 +15,58 @@
   readonly upstreams: string;
   readonly kind: configuration.DeploymentBody['kind'];
   readonly urgency: configuration.Urgency;
-  /** Tokens of the prompt; an estimate. */
+  /** Estimated number of prompt tokens. */
   readonly promptTokens: number;
-  /** Digest of the beginning of the prompt, as cache events name prefixes. */
+  /** Digest of the beginning of the prompt, as used in cache events. */
   readonly prefix: string;
   readonly estimateKeys: estimates.EstimateKeys;
-  /** Upstreams that have failed this request already. */
+  /** Upstreams on which this request has already failed. */
   readonly exclude: ReadonlySet<string>;
-  /** Where given, only engines of this group. */
+  /** If present, only engines of this group are eligible. */
   readonly group?: EngineGroup;
 }
 
-/** A share of a deployment's engines: those whose name hashes to `index` modulo `count`. */
+/** A subset of the engines of a deployment: those whose name hashes to `index` modulo `count`. */
 export interface EngineGroup {
   readonly index: number;
   readonly count: number;
 }
 
-/** Why a request got no place; it has not been run. */
+/** Why a request was not placed; it has not been executed. */
 export interface PlacementRefusal {
   readonly reason: 'noUpstream' | 'queueFull' | 'quarantined';
-  /** Milliseconds after which it is worth coming back; absent where that does not help. */
+  /** Milliseconds after which to retry; absent if a retry would not help. */
   readonly retryAfter?: number;
 }
 
-/** A place, or a refusal. */
+/** The outcome of placement. */
 export type Placement =
   | { readonly type: 'granted'; readonly upstream: upstreamTable.UpstreamRecord }
   | { readonly type: 'refused'; readonly refusal: PlacementRefusal };
 
-/** The serving policy: places requests and is told what becomes of them. */
+/** Places requests and tracks their progress. */
 export interface PlacementPolicy {
-  /** Asks for a place; `done` is called once, at once or later. The returned function gives up waiting. */
+  /** Requests placement; `done` is called once, possibly synchronously. The returned function cancels the wait. */
   place(request: PlacementRequest, done: (placement: Placement) => void): ports.Cancel;
-  /** A generation has produced this many tokens so far. */
+  /** Records the total number of tokens that a generation has produced so far. */
   progressed(requestId: string, produced: number): void;
-  /** The request has left its upstream, with this many tokens produced; `whole` when it ended by itself. */
+  /** Records that a request has left its upstream; `whole` is true if the generation ran to completion. */
   finished(requestId: string, produced: number, whole: boolean): void;
-  /** Requests waiting for a place. */
+  /** Returns the number of requests waiting for placement. */
   waiting(): number;
 }
 
-/** What one entry knows of its own dispatches to one upstream. */
-export interface OwnDispatch {
+/** A request in flight at an upstream. */
+export interface DispatchRecord {
   readonly requestId: string;
   readonly upstream: string;
   readonly urgency: configuration.Urgency;
   readonly promptTokens: number;
   readonly estimateKeys: estimates.EstimateKeys;
-  readonly since: number;
-  /** Tokens at the last word of progress, and when that was. */
+  readonly dispatchedAt: number;
+  /** Total tokens produced, as of the last progress report. */
   produced: number;
-  progressedAt: number;
-  /** Tokens a millisecond between the last two words of progress. */
+  lastProgressAt: number;
+  /** Tokens per millisecond between the last two progress reports. */
   rate: number;
 }
--- a/packages/kumquatfront/src/traffic/residency.ts
+++ b/packages/kumquatfront/src/traffic/residency.ts
@@ -1,58 +1,60 @@
 /**
- * Where the work and the bodies of some requests may be: routes and client accounts may name regions as their home.
- * Where both do, both bind.
+ * Data residency: routes and client accounts may restrict the processing and the bodies of their requests to home
+ * regions. If both do, a region must be allowed by both.
  */
 import type * as types from './types.js';
 
-/** Region of each data centre, by name, as the settings tell. */
+/** Region of each data centre, by data centre name. */
 export type Regions = ReadonlyMap<string, string>;
 
 /**
- * Regions in which a request may run.
+ * Returns the regions in which a request may run.
  *
  * @param route - its route
- * @param account - its client account, where it has one
- * @returns the regions; undefined where any will do
+ * @param account - its client account, if any
+ * @returns the regions; undefined if unrestricted
  * @example
  * ```ts
  * residency.regionsOf(route, account); // ['lk-west']
  * ```
  */
 export function regionsOf(route: types.Route, account?: types.Account): readonly string[] | undefined {
-  const { homes: ofRoute } = route;
-  const ofAccount = account?.homes;
-  if (ofRoute === undefined || ofAccount === undefined) {
-    return ofRoute ?? ofAccount;
+  const { homes: routeRegions } = route;
+  const accountRegions = account?.homes;
+  if (routeRegions === undefined || accountRegions === undefined) {
+    return routeRegions ?? accountRegions;
   }
-  return ofRoute.filter((region) => ofAccount.includes(region));
+  return routeRegions.filter((region) => accountRegions.includes(region));
 }
 
 /**
- * Data centres in which a request may run.
+ * Returns the data centres in which a request may run.
  *
- * @param wanted - regions in which it may; undefined where any will do
- * @param regions - all data centres
- * @returns names of data centres; undefined where any will do
+ * @param allowedRegions - regions in which it may run; undefined if unrestricted
+ * @param regions - region of each data centre
+ * @returns names of data centres; undefined if unrestricted
  * @example
  * ```ts
  * residency.dataCentresIn(['lk-west'], regions); // ['colombo-a', 'negombo']
  * ```
  */
 export function dataCentresIn(
-  wanted: readonly string[] | undefined,
+  allowedRegions: readonly string[] | undefined,
   regions: Regions,
 ): readonly string[] | undefined {
-  if (wanted === undefined) {
+  if (allowedRegions === undefined) {
     return undefined;
   }
-  return [...regions].filter(([, region]) => wanted.includes(region)).map(([dataCentre]) => dataCentre);
+  return [...regions]
+    .filter(([, region]) => allowedRegions.includes(region))
+    .map(([dataCentre]) => dataCentre);
 }
 
 /**
- * True where a data centre is among those in which a request may run.
+ * Reports whether a request may run in a data centre.
  *
- * @param dataCentre - its name
- * @param allowed - names of data centres; undefined where any will do
+ * @param dataCentre - name of the data centre
+ * @param allowed - names of the allowed data centres; undefined if unrestricted
  * @example
  * ```ts
  * residency.allows('colombo-a', routed.dataCentres);
--- a/packages/kumquatfront/src/traffic/routeTable.ts
+++ b/packages/kumquatfront/src/traffic/routeTable.ts
@@ -1,19 +1,19 @@
 /**
- * Finds the route, service and client account of a request. A look-up costs one step for each slash of the
- * path, whatever the number of routes.
+ * Looks up the route, service and client account of a request. The cost of a route lookup is linear in the number of
+ * slashes in the path and independent of the number of routes.
  */
 import type * as types from './types.js';
 
-/** A host as it is looked up: in lower case, without its port. */
-function hostKey(host: string): string {
+/** Converts a host to lower case and removes its port. */
+function normalizeHost(host: string): string {
   return host.toLowerCase().replace(/:\d+$/, '');
 }
 
-/** The look-up tables of one configuration; see the module comment. */
+/** Lookup tables of one configuration; see the module comment. */
 export class RouteTable {
   readonly version: number;
   readonly limits: types.CallerLimits;
-  /** True where requests must carry the key of a client account. */
+  /** True if requests must carry the key of a client account. */
   readonly wantsKeys: boolean;
   private readonly hosts = new Map<string, Map<string, types.Route>>();
   private readonly services = new Map<string, types.Service>();
@@ -39,9 +39,9 @@
     }
   }
 
-  /** The route with the longest prefix that begins the path; `host` may carry a port. */
+  /** Returns the route with the longest matching path prefix; `host` may include a port. */
   routeOf(host: string, path: string): types.Route | undefined {
-    const prefixes = this.hosts.get(hostKey(host));
+    const prefixes = this.hosts.get(normalizeHost(host));
     if (prefixes === undefined) {
       return undefined;
     }
@@ -54,9 +54,9 @@
     return undefined;
   }
 
-  /** Homes of the routes of a host that have any. */
+  /** Returns the home regions of each route of a host that is restricted to some. */
   homesOf(host: string): readonly (readonly string[])[] {
-    const routes = [...(this.hosts.get(hostKey(host))?.values() ?? [])];
+    const routes = [...(this.hosts.get(normalizeHost(host))?.values() ?? [])];
     return routes.flatMap(({ homes }) => (homes === undefined ? [] : [homes]));
   }
 
@@ -68,13 +68,13 @@
     return this.accounts.get(key);
   }
 
-  /** Draws one of a route's services by weight; `draw` is in [0, 1). */
+  /** Selects one of a route's services by weight; `draw` is a random number in [0, 1). */
   pickService(route: types.Route, draw: number): string {
     const total = route.targets.reduce((sum, target) => sum + target.weight, 0);
-    let rest = draw * total;
+    let remaining = draw * total;
     for (const target of route.targets) {
-      rest -= target.weight;
-      if (rest < 0) {
+      remaining -= target.weight;
+      if (remaining < 0) {
         return target.service;
       }
     }
--- a/packages/kumquatfront/src/traffic/traffic.spec.ts
+++ b/packages/kumquatfront/src/traffic/traffic.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Routes are found by the longest prefix, and a configuration that contradicts itself is refused.
+ * Tests route lookup and the rejection of inconsistent configurations.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -35,7 +35,7 @@
   return { version: 3, routes, services: [{ name: 'app', maximumConnections: 10 }], limits, accounts };
 }
 
-void test.test('the longest prefix that begins the path wins', () => {
+void test.test('the longest matching path prefix wins', () => {
   const table = new routeTable.RouteTable(
     configuration([route('short', '/a/'), route('long', '/a/b/'), route('other', '/c/')]),
   );
@@ -46,13 +46,13 @@
   assert.equal(table.routeOf('else.example', '/a/'), undefined);
 });
 
-void test.test('a route of the whole host takes what no other takes', () => {
+void test.test('the route with the prefix "/" matches paths that match no other route', () => {
   const table = new routeTable.RouteTable(configuration([route('all', '/'), route('a', '/a/')]));
   assert.equal(table.routeOf('shop.example', '/b/c')?.name, 'all');
   assert.equal(table.routeOf('shop.example', '/a/c')?.name, 'a');
 });
 
-void test.test('services are drawn by weight, and one of weight 0 never', () => {
+void test.test('services are selected by weight, and one of weight 0 never is', () => {
   const targets = [
     { service: 'none', weight: 0 },
     { service: 'few', weight: 10 },
@@ -66,7 +66,7 @@
   assert.equal(table.pickService(weighted, 0.999), 'most');
 });
 
-void test.test('keys lead to their accounts', () => {
+void test.test('accounts are found by their keys', () => {
   const accounts = [
     { name: 'one', keys: ['k1', 'k2'] },
     { name: 'two', keys: ['k3'] },
@@ -77,7 +77,7 @@
   assert.equal(table.accountOf('k4'), undefined);
 });
 
-const contradictions: readonly (readonly [string, types.TrafficConfiguration])[] = [
+const inconsistentConfigurations: readonly (readonly [string, types.TrafficConfiguration])[] = [
   ['an unknown service', configuration([route('r', '/', { targets: [{ service: 'x', weight: 1 }] })])],
   [
     'weights that add up to 0',
@@ -85,12 +85,12 @@
   ],
   ['a timeout of 0', configuration([route('r', '/', { timeout: 0 })])],
   [
-    'two routes at one place',
+    'two routes with the same host and prefix',
     configuration([route('r', '/a/'), route('s', '/a/', { host: 'Shop.Example' })]),
   ],
-  ['a prefix without its slash', configuration([route('r', '/a')])],
+  ['a prefix without a trailing slash', configuration([route('r', '/a')])],
   [
-    'a key of two accounts',
+    'a key shared by two accounts',
     configuration(
       [],
       [
@@ -101,14 +101,14 @@
   ],
 ];
 
-for (const [name, contradiction] of contradictions) {
-  void test.test(`${name} is refused with a remedy`, () => {
+for (const [name, contradiction] of inconsistentConfigurations) {
+  void test.test(`${name} is rejected with a remedy`, () => {
     const checked = trafficValidation.check(contradiction);
     assert.equal(checked.err && checked.val.kind, 'badInput');
     assert.notEqual(checked.err && checked.val.remedy, '');
   });
 }
 
-void test.test('a sound configuration is let through', () => {
+void test.test('a valid configuration is accepted', () => {
   assert.equal(trafficValidation.check(configuration([route('r', '/a/'), route('s', '/b/')])).ok, true);
 });
--- a/packages/kumquatfront/src/traffic/types.ts
+++ b/packages/kumquatfront/src/traffic/types.ts
@@ -1,5 +1,5 @@
 /**
- * The traffic configuration: routes, services, limits and client accounts that operators replace as a whole.
+ * The traffic configuration: routes, services, limits and client accounts. Operators always replace it completely.
  * Times are milliseconds.
  */
 import type * as failures from '../kernel/failures.js';
@@ -7,53 +7,53 @@
 import type * as results from '../kernel/results.js';
 import type * as warmUpBounds from '../warmUp/warmUpBounds.js';
 
-/** What may be repeated: a `stream` may not, unless its route says that it is resumable. */
+/** Whether a request may be retried; a `stream` may only if its route is resumable. */
 export type CallKind = 'idempotent' | 'nonIdempotent' | 'stream';
 
-/** A share of a route's requests that goes to one service. */
+/** A service that receives a weighted fraction of a route's requests. */
 export interface WeightedTarget {
   readonly service: string;
   readonly weight: number;
 }
 
-/** Where requests of one host and path prefix go. */
+/** Maps the requests of one host and path prefix to services. */
 export interface Route {
   readonly name: string;
   readonly host: string;
-  /** Begins and ends with a slash; the longest one that begins the path wins. */
+  /** Begins and ends with a slash; the longest matching prefix wins. */
   readonly pathPrefix: string;
   readonly kind: CallKind;
-  /** Longest time that a caller is kept waiting for the whole answer. */
+  /** Maximum time until the complete response. */
   readonly timeout: ports.Milliseconds;
-  /** Time to the answer, or to a stream's first event, that callers expect. */
+  /** Latency objective: time to the response, or to the first event of a stream. */
   readonly objective: ports.Milliseconds;
-  /** Rank among all requests; 0 goes first. */
+  /** Priority among all requests; 0 is the highest. */
   readonly priority: number;
   readonly targets: readonly WeightedTarget[];
-  /** Upstreams that one request may run on at most. */
+  /** Maximum number of upstreams tried for one request. */
   readonly maximumAttempts: number;
-  /** True where callers need no key. */
+  /** True if callers need no key. */
   readonly anonymous: boolean;
-  /** True where a stream may go on at another upstream after the last event that arrived. */
+  /** True if a stream may resume on another upstream after the last event received. */
   readonly resumable: boolean;
-  /** Longest pause between two events of a stream that callers accept. */
+  /** Maximum time between two events of a stream. */
   readonly longestPause: ports.Milliseconds;
-  /** Regions in which its requests may run and their bodies be; absent where any will do. */
+  /** Home regions that its requests and their bodies are restricted to; absent if unrestricted. */
   readonly homes?: readonly string[];
 }
 
-/** What the engines of a service can do. */
+/** Capacity and capabilities of the engines of a service. */
 export interface EngineTraits {
-  /** Generations that one engine runs at once. */
+  /** Maximum number of concurrent generations per engine. */
   readonly slots: number;
   /** Memory of one engine, in tokens. */
   readonly memoryTokens: number;
-  /** Bytes that one token takes when a generation is copied. */
+  /** Bytes transferred per token when a generation is copied. */
   readonly bytesPerToken: number;
   readonly linkMegabitsPerSecond: number;
   readonly migrations: boolean;
   readonly backups: boolean;
-  /** Tokens that one event of a stream holds. */
+  /** Number of tokens per stream event. */
   readonly tokensPerEvent: number;
 }
 
@@ -61,13 +61,13 @@
 export interface Service {
   readonly name: string;
   readonly maximumConnections: number;
-  /** Present where cold upstreams tolerate fewer requests than warm ones. */
+  /** Present if cold upstreams tolerate fewer requests than warm ones. */
   readonly warmUp?: warmUpBounds.WarmUp;
-  /** Present where the upstreams are engines that generate. */
+  /** Present if the upstreams are engines that run generations. */
   readonly engine?: EngineTraits;
 }
 
-/** Bounds of what a caller may send and how long it may take. */
+/** Size and time limits of requests from callers. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -75,30 +75,30 @@
   readonly idleTimeout: ports.Milliseconds;
 }
 
-/** A client account and the keys that stand for it. */
+/** A client account and the keys that identify it. */
 export interface Account {
   readonly name: string;
   readonly keys: readonly string[];
-  /** Goes before the priority of the route where it is present. */
+  /** Overrides the priority of the route if present. */
   readonly priority?: number;
-  /** Regions in which its requests may run and their bodies be; absent where any will do. */
+  /** Home regions that its requests and their bodies are restricted to; absent if unrestricted. */
   readonly homes?: readonly string[];
 }
 
-/** One whole traffic configuration. */
+/** A complete traffic configuration. */
 export interface TrafficConfiguration {
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly Service[];
   readonly limits: CallerLimits;
-  /** Absent where requests carry no keys. */
+  /** Absent if requests carry no keys. */
   readonly accounts?: readonly Account[];
 }
 
-/** Turns an operator's text into a configuration; the format is the adapter's. */
+/** Decodes a configuration from the text sent by an operator; the adapter defines the format. */
 export type DecodeTraffic = (text: string) => results.Result<TrafficConfiguration, failures.Failure>;
 
-/** A traffic configuration as it was accepted: its version, and the text that the operator sent. */
+/** An accepted traffic configuration: its version and the text sent by the operator. */
 export interface VersionedText {
   readonly version: number;
   readonly text: string;
--- a/packages/kumquatfront/src/trafficEntry/evacuatedDataCentre.spec.ts
+++ b/packages/kumquatfront/src/trafficEntry/evacuatedDataCentre.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The whole system while a data centre is evacuated: whoever sends, its upstreams get nothing new.
+ * System tests of the evacuation of a data centre: no sender sends new requests to its upstreams.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -10,106 +10,113 @@
 
 const DATA_CENTRES = ['a', 'b', 'c'];
 
-/** The aim: an entry in contact with control obeys within this time of the acknowledgement. */
-const OBEYED_WITHIN: ports.Milliseconds = 1_000;
+/** Maximum time after the acknowledgement until an entry connected to control applies an evacuation. */
+const PROPAGATION_DEADLINE: ports.Milliseconds = 1_000;
 
 function start(): crashBench.CrashBench {
   return new crashBench.CrashBench(4, { llm: 6, app: 3 }, () => 'served', 3, DATA_CENTRES);
 }
 
-/** Callers of both services ask all entries in turn. */
-function load(bench: crashBench.CrashBench, duration: ports.Milliseconds, pause = 20): void {
-  const until = bench.time.now() + duration;
-  for (let count = 0; bench.time.now() < until; count += 1) {
-    const entry = bench.entryNames[count % bench.entryNames.length] ?? '';
-    bench.ask(entry, count % 2 === 0 ? 'llm' : 'app', `c${count}-${until}`);
-    bench.time.advance(pause);
+/** Sends requests for both services to all entries in round robin order. */
+function load(harness: crashBench.CrashBench, duration: ports.Milliseconds, pause = 20): void {
+  const until = harness.time.now() + duration;
+  for (let count = 0; harness.time.now() < until; count += 1) {
+    const entry = harness.entryNames[count % harness.entryNames.length] ?? '';
+    harness.ask(entry, count % 2 === 0 ? 'llm' : 'app', `c${count}-${until}`);
+    harness.time.advance(pause);
   }
 }
 
-function arrivedIn(bench: crashBench.CrashBench, dataCentre: string, since: ports.Milliseconds): number {
-  return bench.arrivals.filter((arrival) => arrival.dataCentre === dataCentre && arrival.at > since).length;
+function arrivedIn(harness: crashBench.CrashBench, dataCentre: string, since: ports.Milliseconds): number {
+  return harness.arrivals.filter((arrival) => arrival.dataCentre === dataCentre && arrival.at > since).length;
 }
 
-void test.test('its upstreams get nothing new, the others serve all, and it is used again after', () => {
-  const bench = start();
-  load(bench, 2_000);
-  assert.ok(arrivedIn(bench, 'a', 0) > 0);
-  assert.equal(bench.control.order('c2', 'evacuate', 'a'), true);
-  const acknowledged = bench.time.now();
-  load(bench, 4_000);
-  assert.equal(arrivedIn(bench, 'a', acknowledged + OBEYED_WITHIN), 0);
-  assert.deepEqual([...new Set(bench.attempts.map(({ outcome }) => outcome))], ['served', undefined]);
-  assert.equal(bench.control.order('c1', 'restore', 'a'), true);
-  const restored = bench.time.now();
-  load(bench, 4_000);
-  assert.ok(arrivedIn(bench, 'a', restored) > 0);
-});
+void test.test(
+  'an evacuated data centre gets no new requests, the others serve all, and it is used again once restored',
+  () => {
+    const harness = start();
+    load(harness, 2_000);
+    assert.ok(arrivedIn(harness, 'a', 0) > 0);
+    assert.equal(harness.control.order('c2', 'evacuate', 'a'), true);
+    const acknowledged = harness.time.now();
+    load(harness, 4_000);
+    assert.equal(arrivedIn(harness, 'a', acknowledged + PROPAGATION_DEADLINE), 0);
+    assert.deepEqual([...new Set(harness.attempts.map(({ outcome }) => outcome))], ['served', undefined]);
+    assert.equal(harness.control.order('c1', 'restore', 'a'), true);
+    const restored = harness.time.now();
+    load(harness, 4_000);
+    assert.ok(arrivedIn(harness, 'a', restored) > 0);
+  },
+);
 
-// An entry restarts while the data centre is evacuated, and control loses its leader. The entry has forgotten what it
-// knew, and serves as soon as it has a configuration: by then it must know of the evacuation.
-void test.test('an entry that starts knows of it before it sends anything', () => {
-  const bench = start();
-  assert.equal(bench.control.order('c2', 'evacuate', 'a'), true);
-  bench.time.advance(OBEYED_WITHIN);
-  const since = bench.time.now();
-  bench.control.kill(bench.control.leader());
-  for (const entry of bench.entryNames) {
-    bench.startEntry(entry);
-    load(bench, 500);
+// Guards against a restarted entry serving with a configuration but without the evacuation, while control has lost its
+// leader.
+void test.test('a starting entry applies the evacuation before it sends any request', () => {
+  const harness = start();
+  assert.equal(harness.control.order('c2', 'evacuate', 'a'), true);
+  harness.time.advance(PROPAGATION_DEADLINE);
+  const since = harness.time.now();
+  harness.control.kill(harness.control.leader());
+  for (const entry of harness.entryNames) {
+    harness.startEntry(entry);
+    load(harness, 500);
   }
-  load(bench, 2_000);
-  assert.equal(arrivedIn(bench, 'a', since), 0);
-  assert.ok(bench.attempts.some(({ outcome }) => outcome === 'served'));
+  load(harness, 2_000);
+  assert.equal(arrivedIn(harness, 'a', since), 0);
+  assert.ok(harness.attempts.some(({ outcome }) => outcome === 'served'));
 });
 
-// Control is gone: no coordinator answers, so that entries place generations by themselves. The last that they heard
-// holds.
-void test.test('entries obey without control', () => {
-  const bench = start();
-  assert.equal(bench.control.order('c2', 'evacuate', 'a'), true);
-  bench.time.advance(OBEYED_WITHIN);
+// Guards against entries dropping the last known evacuation when no control replica answers and they place locally.
+void test.test('entries apply the evacuation without control', () => {
+  const harness = start();
+  assert.equal(harness.control.order('c2', 'evacuate', 'a'), true);
+  harness.time.advance(PROPAGATION_DEADLINE);
   for (const replica of crashBench.REPLICAS) {
-    bench.control.kill(replica);
+    harness.control.kill(replica);
   }
-  const since = bench.time.now();
-  load(bench, 4_000);
-  assert.equal(arrivedIn(bench, 'a', since), 0);
-  assert.ok(bench.arrivals.some((arrival) => arrival.at > since));
+  const since = harness.time.now();
+  load(harness, 4_000);
+  assert.equal(arrivedIn(harness, 'a', since), 0);
+  assert.ok(harness.arrivals.some((arrival) => arrival.at > since));
 });
 
-void test.test('with every data centre evacuated callers are told so at once, and that nothing ran', () => {
-  const bench = start();
-  for (const dataCentre of DATA_CENTRES) {
-    assert.equal(bench.control.order('c1', 'evacuate', dataCentre), true);
-  }
-  for (const service of ['llm', 'app'] as const) {
-    const { refusal } = bench.ask('e1', service, `late-${service}`);
-    assert.ok(refusal);
-    assert.equal(refusal.reason, 'noUpstream');
-    assert.match(refusal.message, /evacuated data centre/);
-  }
-});
+void test.test(
+  'with all data centres evacuated requests are refused immediately, stating the reason and that nothing ran',
+  () => {
+    const harness = start();
+    for (const dataCentre of DATA_CENTRES) {
+      assert.equal(harness.control.order('c1', 'evacuate', dataCentre), true);
+    }
+    for (const service of ['llm', 'app'] as const) {
+      const { refusal } = harness.ask('e1', service, `late-${service}`);
+      assert.ok(refusal);
+      assert.equal(refusal.reason, 'noUpstream');
+      assert.match(refusal.message, /evacuated data centre/);
+    }
+  },
+);
 
-// The data centre is restored while all upstreams are busy: its own have nothing to do, and whoever waits would be sent
-// there at once. They may have become cold meanwhile, and fall over.
-void test.test('restored upstreams get what cold ones tolerate, until they can have warmed up', () => {
-  const bench = start();
-  assert.equal(bench.control.order('c2', 'evacuate', 'a'), true);
-  load(bench, 2_000, 4);
-  const restored = bench.time.now();
-  bench.control.trafficOf('c1').orderDataCentre({ type: 'restore', dataCentre: 'a' }, () => undefined);
-  load(bench, 4_000, 4);
-  const { requestsPerSecond, duration } = crashBenchTraffic.WARM_UP;
-  const upstreams = new Set(bench.arrivals.map(({ upstream }) => upstream));
-  let afterwards = 0;
-  for (const upstream of upstreams) {
-    const arrivals = bench.arrivals.filter(
-      (arrival) => arrival.upstream === upstream && arrival.dataCentre === 'a' && arrival.at > restored,
-    );
-    const cold = arrivals.filter(({ at }) => at <= restored + duration).length;
-    assert.ok(cold <= requestsPerSecond, `${cold} while cold`);
-    afterwards += arrivals.length - cold;
-  }
-  assert.ok(afterwards > 0);
-});
+// Guards against overloading the idle and possibly cold upstreams of a restored data centre with all waiting requests.
+void test.test(
+  'restored upstreams get no more than cold ones tolerate until they have had time to warm up',
+  () => {
+    const harness = start();
+    assert.equal(harness.control.order('c2', 'evacuate', 'a'), true);
+    load(harness, 2_000, 4);
+    const restored = harness.time.now();
+    harness.control.trafficOf('c1').orderDataCentre({ type: 'restore', dataCentre: 'a' }, () => undefined);
+    load(harness, 4_000, 4);
+    const { requestsPerSecond, duration } = crashBenchTraffic.WARM_UP;
+    const upstreams = new Set(harness.arrivals.map(({ upstream }) => upstream));
+    let afterwards = 0;
+    for (const upstream of upstreams) {
+      const arrivals = harness.arrivals.filter(
+        (arrival) => arrival.upstream === upstream && arrival.dataCentre === 'a' && arrival.at > restored,
+      );
+      const cold = arrivals.filter(({ at }) => at <= restored + duration).length;
+      assert.ok(cold <= requestsPerSecond, `${cold} while cold`);
+      afterwards += arrivals.length - cold;
+    }
+    assert.ok(afterwards > 0);
+  },
+);
--- a/packages/kumquatfront/src/trafficEntry/trafficEntry.ts
+++ b/packages/kumquatfront/src/trafficEntry/trafficEntry.ts
@@ -1,6 +1,6 @@
 /**
- * An entry that relays requests under a whole traffic configuration, made of services that find each other by
- * name. All outside comes through ports.
+ * An entry that relays requests according to a traffic configuration. It assembles the services of the entry and
+ * accesses the environment only through ports.
  */
 import * as rateLimitShare from '../backPressure/rateLimitShare.js';
 import * as sendRules from '../backPressure/sendRules.js';
@@ -40,11 +40,11 @@
   /** Region of each data centre, by name. */
   readonly regions: residency.Regions;
   readonly retries: retryAllowance.AllowanceSettings;
-  /** How far all that send may pass what a cold upstream tolerates. */
+  /** How far the combined traffic of all senders may exceed the request limit of a cold upstream. */
   readonly warmUpTolerance: warmUpBounds.WarmUpTolerance;
 }
 
-/** Ports of an entry. */
+/** Ports through which an entry accesses its environment. */
 export interface TrafficEntryPorts extends ports.BasePorts {
   readonly upstreams: relayTypes.UpstreamPort;
   readonly decodeTraffic: trafficTypes.DecodeTraffic;
@@ -64,20 +64,20 @@
 export class TrafficEntry {
   readonly services = serviceRegistry.create<TrafficEntryServices>();
   private readonly settings: TrafficEntrySettings;
-  private readonly outside: TrafficEntryPorts;
+  private readonly entryPorts: TrafficEntryPorts;
   private readonly timers: timerService.TimerService;
   private readonly watch: controlWatch.ControlWatch;
   private readonly relay: trafficRelay.TrafficRelay;
   private readonly placement: placementClient.PlacementClient;
   private readonly quarantine: quarantine.Quarantine;
   private routes: routeTable.RouteTable | undefined;
-  private draining = false;
+  private isDraining = false;
 
-  constructor(settings: TrafficEntrySettings, outside: TrafficEntryPorts) {
-    const { random, log, metrics, peers, upstreams } = outside;
+  constructor(settings: TrafficEntrySettings, entryPorts: TrafficEntryPorts) {
+    const { random, log, metrics, peers, upstreams } = entryPorts;
     this.settings = settings;
-    this.outside = outside;
-    this.timers = timerService.create(outside.clock, outside.scheduler);
+    this.entryPorts = entryPorts;
+    this.timers = timerService.create(entryPorts.clock, entryPorts.scheduler);
     const { timers } = this;
     const signals = new signalBook.SignalBook({
       timers,
@@ -99,7 +99,7 @@
         this.quarantine.detector.onInstance(change);
         signals.onInstance(change);
         if (event === 'gone' || event === 'replaced') {
-          choice.forget(instance.identity);
+          balancer.forget(instance.identity);
           rules.forget(instance.identity);
         }
         if (event === 'replaced') {
@@ -115,9 +115,9 @@
       signals,
       rateShare: new entryShare.EntryShare(settings.name, entryCount, rateLimitShare.RATE_WINDOW),
       coldShare: new entryShare.EntryShare(settings.name, entryCount, warmUpBounds.COLD_WINDOW),
-      toleratedBy: (service) => this.toleratedByCold(service),
+      toleratedBy: (service) => this.coldRequestLimitOf(service),
     });
-    const choice = new localChoice.LocalChoice({ random, dataCentre: settings.dataCentre, rules });
+    const balancer = new localChoice.LocalChoice({ random, dataCentre: settings.dataCentre, rules });
     this.placement = new placementClient.PlacementClient({
       entry: settings.name,
       dataCentre: settings.dataCentre,
@@ -149,7 +149,7 @@
       },
     });
     const { placement, quarantine: guard } = this;
-    const allowance = new retryAllowance.RetryAllowance(
+    const budget = new retryAllowance.RetryAllowance(
       settings.retries,
       () => this.watch.shareOfEntries,
       random,
@@ -169,15 +169,15 @@
         }),
         instances,
         rules,
-        choice,
-        allowance,
+        choice: balancer,
+        allowance: budget,
         placement,
         quarantine: guard,
       },
       random,
       regions: settings.regions,
       routes: () => this.routes,
-      draining: () => this.draining,
+      draining: () => this.isDraining,
     });
     this.watch = new controlWatch.ControlWatch({
       timers,
@@ -202,7 +202,7 @@
         instances.setEvacuated(names);
       },
       onReplicaStarted: (address) => {
-        // It knows only what the disks of control kept.
+        // A restarted replica has only the crash records on the disks of the control replicas.
         reporter.tell(address, guard.contents());
       },
     });
@@ -216,12 +216,12 @@
 
   private notifyControl(method: string, parameters: unknown): void {
     for (const replica of this.watch.replicas()) {
-      this.outside.peers.notify(replica, method, parameters);
+      this.entryPorts.peers.notify(replica, method, parameters);
     }
   }
 
-  /** Requests a second that all entries together may send to a cold upstream without a coordinator's word. */
-  private toleratedByCold(name: string): number | undefined {
+  /** Requests per second that all entries together may send to a cold upstream without a coordinator's grant. */
+  private coldRequestLimitOf(name: string): number | undefined {
     const service = this.routes?.serviceOf(name);
     if (service?.warmUp === undefined) {
       return undefined;
@@ -236,48 +236,48 @@
     return { name, dataCentre, callerAddress, peerAddress, state: this.state, trafficVersion };
   }
 
-  /** Whether callers should come here. */
+  /** Whether this entry accepts new callers. */
   get state(): methods.EntryState {
-    if (this.draining) {
+    if (this.isDraining) {
       return 'draining';
     }
     return this.routes === undefined ? 'starting' : 'ready';
   }
 
-  /** Limits of what callers may send; undefined before the first configuration. */
+  /** Limits of requests from callers; undefined before the first configuration. */
   get limits(): routeTable.RouteTable['limits'] | undefined {
     return this.routes?.limits;
   }
 
   private applyTraffic(text: string): void {
-    const decoded = this.outside.decodeTraffic(text);
+    const decoded = this.entryPorts.decodeTraffic(text);
     if (decoded.err) {
-      this.outside.log.error('trafficUnreadable', { reason: failures.describe(decoded.val) });
+      this.entryPorts.log.error('trafficUnreadable', { reason: failures.describe(decoded.val) });
       return;
     }
-    const first = this.routes === undefined;
+    const isFirst = this.routes === undefined;
     this.routes = new routeTable.RouteTable(decoded.val);
-    if (first) {
+    if (isFirst) {
       this.watch.tellNow();
       this.relay.configured();
     }
   }
 
-  /** Serves one request of a caller. */
+  /** Handles one request from a caller. */
   handle(request: relayTypes.TrafficRequest, caller: relayTypes.CallerPort): void {
     this.relay.handle(request, caller);
   }
 
-  /** Takes this entry out of the address list at once; it goes on serving whoever still comes. */
+  /** Removes this entry from the address list immediately; requests that still arrive are served. */
   drain(): void {
-    if (!this.draining) {
-      this.draining = true;
-      this.outside.log.info('drainStarted', { generations: this.placement.openCount });
+    if (!this.isDraining) {
+      this.isDraining = true;
+      this.entryPorts.log.info('drainStarted', { generations: this.placement.openCount });
       this.watch.tellNow();
     }
   }
 
-  /** Replaces the addresses of control that the settings name. */
+  /** Replaces the seed addresses of control replicas. */
   setSeeds(seeds: readonly string[]): void {
     this.watch.setSeeds(seeds);
   }
--- a/packages/scenarios/src/scripts/servingSafeguards.ts
+++ b/packages/scenarios/src/scripts/servingSafeguards.ts
@@ -101,7 +101,7 @@
   {
     name: 'requests wait for the upstream list after a restart',
     file: 'admission/localPlacement.js',
-    find: 'this.waitForUpstream(request, done, goOn);',
+    find: 'this.waitForUpstream(request, done, resume);',
     replace:
       "(done({ type: 'refused', refusal: { reason: 'noUpstream', retryAfter: 60000 } }), () => undefined);",
     scenario: 'entries-restart-together',
@@ -158,14 +158,14 @@
   {
     name: 'asks are repeated to whoever coordinates now',
     file: 'admission/coordinatedPlacement.js',
-    find: 'this.repeatAsks();',
+    find: 'this.resendRequests();',
     replace: '',
     scenario: 'coordinator-killed',
   },
   {
     name: 'an entry places alone when the coordinator is silent',
     file: 'admission/coordinatedPlacement.js',
-    find: 'this.placeAlone(requestId, waiting);',
+    find: 'this.placeLocally(requestId, waiting);',
     replace: '',
     scenario: 'coordinator-frozen',
   },
