--- a/packages/kumquatfront/src/admission/drainRate.ts
+++ b/packages/kumquatfront/src/admission/drainRate.ts
@@ -35,7 +35,7 @@
     if (this.decayedGrants < 0.01 || this.decayedTime <= 0) {
       return MAXIMUM_WAIT;
     }
-    const perMillisecond = this.decayedGrants / this.decayedTime;
-    return Math.round(Math.min(MAXIMUM_WAIT, Math.max(MINIMUM_WAIT, count / perMillisecond)));
+    const grantsPerMillisecond = this.decayedGrants / this.decayedTime;
+    return Math.round(Math.min(MAXIMUM_WAIT, Math.max(MINIMUM_WAIT, count / grantsPerMillisecond)));
   }
 }
--- a/packages/kumquatfront/src/admission/headroom.ts
+++ b/packages/kumquatfront/src/admission/headroom.ts
@@ -95,8 +95,8 @@
     const { name } = upstream.announcement;
     const dispatchesVersion = context.dispatches.versionOf(name);
     const cached = this.cache.get(name);
-    const current = cached?.dispatchesVersion === dispatchesVersion && cached.loadAt === upstream.loadAt;
-    if (cached !== undefined && current && context.now - cached.createdAt < CACHE_TTL) {
+    const isCurrent = cached?.dispatchesVersion === dispatchesVersion && cached.loadAt === upstream.loadAt;
+    if (cached !== undefined && isCurrent && context.now - cached.createdAt < CACHE_TTL) {
       return cached;
     }
     const items = [
@@ -132,8 +132,8 @@
   ): number {
     const { slots, memoryTokens } = upstream.announcement;
     const { reservedSlots, reservedMemory, deviations } = context.settings;
-    const { forecast, generationCount: count } = this.forecastOf(upstream, request, context);
-    if (slots > 0 && count + 1 > Math.floor(slots * (1 - reservedSlots))) {
+    const { forecast, generationCount } = this.forecastOf(upstream, request, context);
+    if (slots > 0 && generationCount + 1 > Math.floor(slots * (1 - reservedSlots))) {
       return Number.NEGATIVE_INFINITY;
     }
     const peak = memoryForecast.peakWith(
@@ -143,7 +143,7 @@
     );
     const freeTokens = memoryTokens * (1 - reservedMemory) - peak;
     // An idle engine accepts any request, so that one whose forecast exceeds the memory can still run.
-    return count === 0 ? Math.max(0, freeTokens) : freeTokens;
+    return generationCount === 0 ? Math.max(0, freeTokens) : freeTokens;
   }
 
   removeUpstream(upstream: string): void {
--- a/packages/kumquatfront/src/admission/memoryForecast.ts
+++ b/packages/kumquatfront/src/admission/memoryForecast.ts
@@ -28,17 +28,18 @@
  * @returns the forecast
  * @example
  * ```ts
- * const forecast = memoryForecast.of(running);
+ * const forecast = memoryForecast.forGenerations(running);
  * ```
  */
 export function forGenerations(items: Iterable<GenerationMemory>): Forecast {
   const forecast = { means: new Float64Array(HORIZONS.length), variances: new Float64Array(HORIZONS.length) };
   for (const item of items) {
     for (const [position, steps] of HORIZONS.entries()) {
-      const alive = item.survival[position] ?? 0;
+      const probability = item.survival[position] ?? 0;
       const size = item.heldTokens + steps;
-      forecast.means[position] = (forecast.means[position] ?? 0) + alive * size;
-      forecast.variances[position] = (forecast.variances[position] ?? 0) + alive * (1 - alive) * size * size;
+      forecast.means[position] = (forecast.means[position] ?? 0) + probability * size;
+      forecast.variances[position] =
+        (forecast.variances[position] ?? 0) + probability * (1 - probability) * size * size;
     }
   }
   return forecast;
@@ -54,16 +55,16 @@
  * @returns the peak in tokens
  * @example
  * ```ts
- * memoryForecast.peakWith(memoryForecast.of([]), { heldTokens: 100, survival: memoryForecast.HORIZONS.map(() => 0) }, 1);
+ * memoryForecast.peakWith(memoryForecast.forGenerations([]), { heldTokens: 100, survival: memoryForecast.HORIZONS.map(() => 0) }, 1);
  * ```
  */
 export function peakWith(forecast: Forecast, added: GenerationMemory, deviations: number): number {
   let highest = 0;
   for (let position = 0; position < HORIZONS.length; position += 1) {
-    const alive = added.survival[position] ?? 0;
+    const probability = added.survival[position] ?? 0;
     const size = added.heldTokens + (HORIZONS[position] ?? 0);
-    const mean = (forecast.means[position] ?? 0) + alive * size;
-    const variance = (forecast.variances[position] ?? 0) + alive * (1 - alive) * size * size;
+    const mean = (forecast.means[position] ?? 0) + probability * size;
+    const variance = (forecast.variances[position] ?? 0) + probability * (1 - probability) * size * size;
     highest = Math.max(highest, mean + deviations * Math.sqrt(variance));
   }
   return highest;
--- a/packages/kumquatfront/src/traffic/trafficValidation.ts
+++ b/packages/kumquatfront/src/traffic/trafficValidation.ts
@@ -14,28 +14,28 @@
 
 function checkRoute(route: types.Route, services: ReadonlySet<string>): ValidationResult | undefined {
   if (!(route.timeout > 0)) {
-    return reject(`Route "${route.name}" has no timeout.`, 'Give it a timeout above 0 ms.');
+    return reject(`Route "${route.name}" must have a positive timeout.`, 'Set a timeout above 0 ms.');
   }
   if (!/^\/(.*\/)?$/.test(route.pathPrefix)) {
     return reject(
-      `Route "${route.name}" has the prefix "${route.pathPrefix}".`,
-      'Begin and end it with a slash.',
+      `Route "${route.name}" has the invalid path prefix "${route.pathPrefix}".`,
+      'Use a prefix that begins and ends with a slash.',
     );
   }
   const unknown = route.targets.find((target) => !services.has(target.service));
   if (unknown !== undefined) {
     return reject(
-      `Route "${route.name}" names the unknown service "${unknown.service}".`,
+      `Route "${route.name}" references the unknown service "${unknown.service}".`,
       'Add the service or correct its name.',
     );
   }
   if (route.targets.some((target) => !(target.weight >= 0))) {
-    return reject(`Route "${route.name}" has a negative weight.`, 'Give weights of 0 or more.');
+    return reject(`Route "${route.name}" has a negative weight.`, 'Use weights of 0 or more.');
   }
   if (route.targets.reduce((sum, target) => sum + target.weight, 0) <= 0) {
     return reject(
       `The weights of route "${route.name}" add up to 0.`,
-      'Give at least one target a weight above 0.',
+      'Set a weight above 0 for at least one target.',
     );
   }
   return undefined;
@@ -64,7 +64,7 @@
       if (owner !== undefined && owner !== account.name) {
         return reject(
           `Client accounts "${owner}" and "${account.name}" share a key.`,
-          'Give each account keys of its own.',
+          'Use different keys for each account.',
         );
       }
       owners.set(key, account.name);
--- a/packages/kumquatfront/src/trafficEntry/evacuatedDataCentre.spec.ts
+++ b/packages/kumquatfront/src/trafficEntry/evacuatedDataCentre.spec.ts
@@ -13,12 +13,12 @@
 /** Maximum time after the acknowledgement until an entry connected to control applies an evacuation. */
 const PROPAGATION_DEADLINE: ports.Milliseconds = 1_000;
 
-function start(): crashBench.CrashBench {
+function createHarness(): crashBench.CrashBench {
   return new crashBench.CrashBench(4, { llm: 6, app: 3 }, () => 'served', 3, DATA_CENTRES);
 }
 
 /** Sends requests for both services to all entries in round robin order. */
-function load(harness: crashBench.CrashBench, duration: ports.Milliseconds, pause = 20): void {
+function sendRequests(harness: crashBench.CrashBench, duration: ports.Milliseconds, pause = 20): void {
   const until = harness.time.now() + duration;
   for (let count = 0; harness.time.now() < until; count += 1) {
     const entry = harness.entryNames[count % harness.entryNames.length] ?? '';
@@ -27,63 +27,67 @@
   }
 }
 
-function arrivedIn(harness: crashBench.CrashBench, dataCentre: string, since: ports.Milliseconds): number {
+function countArrivals(
+  harness: crashBench.CrashBench,
+  dataCentre: string,
+  since: ports.Milliseconds,
+): number {
   return harness.arrivals.filter((arrival) => arrival.dataCentre === dataCentre && arrival.at > since).length;
 }
 
 void test.test(
   'an evacuated data centre gets no new requests, the others serve all, and it is used again once restored',
   () => {
-    const harness = start();
-    load(harness, 2_000);
-    assert.ok(arrivedIn(harness, 'a', 0) > 0);
+    const harness = createHarness();
+    sendRequests(harness, 2_000);
+    assert.ok(countArrivals(harness, 'a', 0) > 0);
     assert.equal(harness.control.order('c2', 'evacuate', 'a'), true);
     const acknowledged = harness.time.now();
-    load(harness, 4_000);
-    assert.equal(arrivedIn(harness, 'a', acknowledged + PROPAGATION_DEADLINE), 0);
+    sendRequests(harness, 4_000);
+    assert.equal(countArrivals(harness, 'a', acknowledged + PROPAGATION_DEADLINE), 0);
     assert.deepEqual([...new Set(harness.attempts.map(({ outcome }) => outcome))], ['served', undefined]);
     assert.equal(harness.control.order('c1', 'restore', 'a'), true);
     const restored = harness.time.now();
-    load(harness, 4_000);
-    assert.ok(arrivedIn(harness, 'a', restored) > 0);
+    sendRequests(harness, 4_000);
+    assert.ok(countArrivals(harness, 'a', restored) > 0);
   },
 );
 
 // Guards against a restarted entry serving with a configuration but without the evacuation, while control has lost its
 // leader.
 void test.test('a starting entry applies the evacuation before it sends any request', () => {
-  const harness = start();
+  const harness = createHarness();
   assert.equal(harness.control.order('c2', 'evacuate', 'a'), true);
   harness.time.advance(PROPAGATION_DEADLINE);
   const since = harness.time.now();
   harness.control.kill(harness.control.leader());
   for (const entry of harness.entryNames) {
     harness.startEntry(entry);
-    load(harness, 500);
+    sendRequests(harness, 500);
   }
-  load(harness, 2_000);
-  assert.equal(arrivedIn(harness, 'a', since), 0);
+  sendRequests(harness, 2_000);
+  assert.equal(countArrivals(harness, 'a', since), 0);
   assert.ok(harness.attempts.some(({ outcome }) => outcome === 'served'));
 });
 
 // Guards against entries dropping the last known evacuation when no control replica answers and they place locally.
 void test.test('entries apply the evacuation without control', () => {
-  const harness = start();
+  const harness = createHarness();
   assert.equal(harness.control.order('c2', 'evacuate', 'a'), true);
   harness.time.advance(PROPAGATION_DEADLINE);
   for (const replica of crashBench.REPLICAS) {
     harness.control.kill(replica);
   }
   const since = harness.time.now();
-  load(harness, 4_000);
-  assert.equal(arrivedIn(harness, 'a', since), 0);
+  sendRequests(harness, 4_000);
+  assert.equal(countArrivals(harness, 'a', since), 0);
   assert.ok(harness.arrivals.some((arrival) => arrival.at > since));
 });
 
 void test.test(
   'with all data centres evacuated requests are refused immediately, stating the reason and that nothing ran',
   () => {
-    const harness = start();
+    const harness = createHarness();
     for (const dataCentre of DATA_CENTRES) {
       assert.equal(harness.control.order('c1', 'evacuate', dataCentre), true);
     }
@@ -100,12 +104,12 @@
 void test.test(
   'restored upstreams get no more than cold ones tolerate until they have had time to warm up',
   () => {
-    const harness = start();
+    const harness = createHarness();
     assert.equal(harness.control.order('c2', 'evacuate', 'a'), true);
-    load(harness, 2_000, 4);
+    sendRequests(harness, 2_000, 4);
     const restored = harness.time.now();
     harness.control.trafficOf('c1').orderDataCentre({ type: 'restore', dataCentre: 'a' }, () => undefined);
-    load(harness, 4_000, 4);
+    sendRequests(harness, 4_000, 4);
     const { requestsPerSecond, duration } = crashBenchTraffic.WARM_UP;
     const upstreams = new Set(harness.arrivals.map(({ upstream }) => upstream));
     let afterwards = 0;
--- a/packages/kumquatfront/src/trafficEntry/trafficEntry.ts
+++ b/packages/kumquatfront/src/trafficEntry/trafficEntry.ts
@@ -31,9 +31,9 @@
 export interface TrafficEntrySettings {
   readonly name: string;
   readonly dataCentre: string;
-  /** Where callers connect: `ip:port`. */
+  /** Address that callers connect to, as `ip:port`. */
   readonly callerAddress: string;
-  /** Where other processes of the system connect: `ip:port`. */
+  /** Address that other processes of the system connect to, as `ip:port`. */
   readonly peerAddress: string;
   /** Peer addresses of some control replicas. */
   readonly seeds: readonly string[];
@@ -92,9 +92,9 @@
         } satisfies methods.HeardRateLimit);
       },
     });
-    const instances = new instanceView.InstanceView((news) => {
-      instanceLog.write(log, news);
-      for (const change of news.changes) {
+    const instances = new instanceView.InstanceView((update) => {
+      instanceLog.write(log, update);
+      for (const change of update.changes) {
         const { instance, event } = change;
         this.quarantine.detector.onInstance(change);
         signals.onInstance(change);
@@ -197,7 +197,7 @@
         guard.take(cases);
       },
       onEvacuations: ({ dataCentres, revision }) => {
-        const names = dataCentres.map((held) => held.dataCentre);
+        const names = dataCentres.map((evacuation) => evacuation.dataCentre);
         log.info('evacuationsInForce', { dataCentres: names.join(' '), revision });
         instances.setEvacuated(names);
       },
