--- a/packages/kumquatfront/src/admission/coordinatedPlacement.ts
+++ b/packages/kumquatfront/src/admission/coordinatedPlacement.ts
@@ -87,12 +87,16 @@
     done: (placement: routing.Placement) => void,
   ): ports.Cancel {
     const grouped = { ...request, group: this.pickGroup(request) };
-    const waiting: PendingRequest = { request: grouped, done, coordinator: this.coordinatorOf(grouped) };
-    this.pending.set(request.requestId, waiting);
-    this.sendRequest(waiting);
+    const pendingRequest: PendingRequest = {
+      request: grouped,
+      done,
+      coordinator: this.coordinatorOf(grouped),
+    };
+    this.pending.set(request.requestId, pendingRequest);
+    this.sendRequest(pendingRequest);
     return () => {
       if (this.pending.delete(request.requestId)) {
-        this.withdraw(waiting);
+        this.withdraw(pendingRequest);
       }
     };
   }
@@ -130,24 +134,30 @@
     };
   }
 
-  private sendRequest(waiting: PendingRequest): void {
+  private sendRequest(pendingRequest: PendingRequest): void {
     const { peers, peerAddress, coordination } = this.options;
-    const { requestId } = waiting.request;
+    const { requestId } = pendingRequest.request;
     const message: messages.CoordinatorRequest = {
       from: peerAddress,
-      request: { ...waiting.request, exclude: [...waiting.request.exclude] },
+      request: { ...pendingRequest.request, exclude: [...pendingRequest.request.exclude] },
     };
-    if (waiting.coordinator === peerAddress) {
+    if (pendingRequest.coordinator === peerAddress) {
       this.onAnswer(requestId, this.coordinator.handleRequest(message));
       return;
     }
-    peers.request(waiting.coordinator, messages.methods.ask, message, coordination.askTimeout, (result) => {
-      if (result.ok) {
-        this.onAnswer(requestId, result.val as messages.CoordinatorAnswer);
-      } else {
-        this.placeLocally(requestId, waiting);
-      }
-    });
+    peers.request(
+      pendingRequest.coordinator,
+      messages.methods.ask,
+      message,
+      coordination.askTimeout,
+      (result) => {
+        if (result.ok) {
+          this.onAnswer(requestId, result.val as messages.CoordinatorAnswer);
+        } else {
+          this.placeLocally(requestId, pendingRequest);
+        }
+      },
+    );
   }
 
   /**
@@ -155,19 +165,19 @@
    * otherwise block all patient requests until its lease expires. At worst an engine is overcommitted and
    * preempts a generation.
    */
-  private placeLocally(requestId: string, waiting: PendingRequest): void {
-    if (this.pending.get(requestId) !== waiting) {
+  private placeLocally(requestId: string, pendingRequest: PendingRequest): void {
+    if (this.pending.get(requestId) !== pendingRequest) {
       return;
     }
     this.pending.delete(requestId);
     this.options.metrics.count('placement.alone', 1);
-    this.local.placePatient(waiting.request, (placement) => {
-      this.recordPlacement(waiting, placement);
+    this.local.placePatient(pendingRequest.request, (placement) => {
+      this.recordPlacement(pendingRequest, placement);
     });
   }
 
-  private recordPlacement(waiting: PendingRequest, placement: routing.Placement): void {
-    const { request, done } = waiting;
+  private recordPlacement(pendingRequest: PendingRequest, placement: routing.Placement): void {
+    const { request, done } = pendingRequest;
     if (placement.type === 'granted') {
       const upstream = placement.upstream.announcement.name;
       this.running.set(request.requestId, { request, upstream, produced: 0 });
@@ -176,58 +186,61 @@
   }
 
   private onAnswer(requestId: string, answer: messages.CoordinatorAnswer): void {
-    const waiting = this.pending.get(requestId);
-    if (waiting === undefined || answer.state === 'waiting') {
+    const pendingRequest = this.pending.get(requestId);
+    if (pendingRequest === undefined || answer.state === 'waiting') {
       return;
     }
     this.pending.delete(requestId);
     if (answer.state === 'refused') {
-      waiting.done({ type: 'refused', refusal: answer.refusal });
+      pendingRequest.done({ type: 'refused', refusal: answer.refusal });
       return;
     }
-    this.onGranted(waiting, answer.announcement);
+    this.onGranted(pendingRequest, answer.announcement);
   }
 
-  private onGranted(waiting: PendingRequest, announcement: directoryTypes.Announcement): void {
+  private onGranted(pendingRequest: PendingRequest, announcement: directoryTypes.Announcement): void {
     const { directory: upstreams, timers } = this.options;
     // The coordinator may have learned of an upstream that gossip has not delivered to this entry yet.
     upstreams.table.announce(announcement, 0, timers.now());
     const upstream = upstreams.table.get(announcement.name);
     // The coordinator repeats its previous answer if the notification that the request left the engine was lost.
-    const failed = waiting.request.exclude.has(announcement.name);
+    const failed = pendingRequest.request.exclude.has(announcement.name);
     if (upstream === undefined || upstream.leaving || failed) {
-      this.withdraw(waiting);
+      this.withdraw(pendingRequest);
       this.place(
-        { ...waiting.request, exclude: new Set([...waiting.request.exclude, announcement.name]) },
-        waiting.done,
+        {
+          ...pendingRequest.request,
+          exclude: new Set([...pendingRequest.request.exclude, announcement.name]),
+        },
+        pendingRequest.done,
       );
       return;
     }
-    if (waiting.coordinator !== this.options.peerAddress) {
-      this.local.dispatches.dispatched(waiting.request, announcement.name, timers.now());
+    if (pendingRequest.coordinator !== this.options.peerAddress) {
+      this.local.dispatches.dispatched(pendingRequest.request, announcement.name, timers.now());
     }
-    this.recordPlacement(waiting, { type: 'granted', upstream });
+    this.recordPlacement(pendingRequest, { type: 'granted', upstream });
   }
 
-  private withdraw(waiting: PendingRequest): void {
-    const { requestId } = waiting.request;
-    if (waiting.coordinator === this.options.peerAddress) {
+  private withdraw(pendingRequest: PendingRequest): void {
+    const { requestId } = pendingRequest.request;
+    if (pendingRequest.coordinator === this.options.peerAddress) {
       this.coordinator.discard(requestId);
     } else {
-      this.options.peers.notify(waiting.coordinator, messages.methods.withdrawn, { requestId });
+      this.options.peers.notify(pendingRequest.coordinator, messages.methods.withdrawn, { requestId });
     }
   }
 
   /** Resends unanswered requests: the answer may have been lost, or the coordinator may have changed. */
   private resendRequests(): void {
     const coordinatorOf = this.createCoordinatorLookup();
-    for (const waiting of [...this.pending.values()]) {
-      const coordinator = coordinatorOf(waiting.request);
-      if (coordinator !== waiting.coordinator) {
-        this.withdraw(waiting);
-        waiting.coordinator = coordinator;
+    for (const pendingRequest of [...this.pending.values()]) {
+      const coordinator = coordinatorOf(pendingRequest.request);
+      if (coordinator !== pendingRequest.coordinator) {
+        this.withdraw(pendingRequest);
+        pendingRequest.coordinator = coordinator;
       }
-      this.sendRequest(waiting);
+      this.sendRequest(pendingRequest);
     }
   }
 
--- a/packages/scenarios/src/scripts/servingSafeguards.ts
+++ b/packages/scenarios/src/scripts/servingSafeguards.ts
@@ -165,7 +165,7 @@
   {
     name: 'an entry places alone when the coordinator is silent',
     file: 'admission/coordinatedPlacement.js',
-    find: 'this.placeLocally(requestId, waiting);',
+    find: 'this.placeLocally(requestId, pendingRequest);',
     replace: '',
     scenario: 'coordinator-frozen',
   },
