--- a/packages/kumquatfront/src/adapters/strangers.spec.ts
+++ b/packages/kumquatfront/src/adapters/authentication.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Strangers on the network: processes without the cluster key, and upstreams without the upstream key.
+ * Authentication: processes without the cluster key and upstreams without the upstream key are rejected.
  */
 import * as assert from 'node:assert/strict';
 import type * as http from 'node:http';
@@ -21,8 +21,8 @@
 import * as statsdMetrics from './statsdMetrics.js';
 import * as systemTime from './systemTime.js';
 
-const silent = (): void => undefined;
-const log: ports.Log = { debug: silent, info: silent, warn: silent, error: silent };
+const noop = (): void => undefined;
+const log: ports.Log = { debug: noop, info: noop, warn: noop, error: noop };
 const LOCAL = '127.0.0.1';
 
 function createTransport(clusterKey: string): jsonRpcTransport.JsonRpcTransport {
@@ -37,7 +37,7 @@
   });
 }
 
-function ask(transport: jsonRpcTransport.JsonRpcTransport, address: string): Promise<boolean> {
+function sendRequest(transport: jsonRpcTransport.JsonRpcTransport, address: string): Promise<boolean> {
   return new Promise((resolve) => {
     transport.request(address, 'test.echo', { text: 'x' }, 3_000, (result) => {
       resolve(result.ok);
@@ -45,9 +45,8 @@
   });
 }
 
-// A process with another cluster key connects and calls a method. The handler never sees it, and the connection
-// ends; one with the right key is answered.
-void test.test('a process without the cluster key is not heard', async () => {
+// A call from a process with a different cluster key must not reach the handler.
+void test.test('requests of a process without the cluster key are rejected', async () => {
   const server = createTransport('the-right-cluster-key');
   let calls = 0;
   server.serve('test.echo', (parameters, reply) => {
@@ -55,18 +54,18 @@
     reply(results.Ok(parameters));
   });
   const address = await listen(server);
-  const friend = createTransport('the-right-cluster-key');
-  const stranger = createTransport('some-other-cluster-key');
-  assert.equal(await ask(friend, address), true);
-  assert.equal(await ask(stranger, address), false);
+  const trustedPeer = createTransport('the-right-cluster-key');
+  const untrustedPeer = createTransport('some-other-cluster-key');
+  assert.equal(await sendRequest(trustedPeer, address), true);
+  assert.equal(await sendRequest(untrustedPeer, address), false);
   assert.equal(calls, 1);
-  for (const transport of [server, friend, stranger]) {
+  for (const transport of [server, trustedPeer, untrustedPeer]) {
     transport.close();
   }
 });
 
-// A stranger skips the proof and sends a request, or sends nonsense. It gets no answer but the greeting.
-void test.test('lines before the proof are not taken for requests', async () => {
+// A process that sends a request or malformed data instead of a proof receives only the first handshake message.
+void test.test('lines before the proof are not handled as requests', async () => {
   const server = createTransport('the-right-cluster-key');
   let calls = 0;
   server.serve('test.echo', () => {
@@ -85,7 +84,7 @@
       socket.on('data', (bytes) => {
         text += bytes.toString();
       });
-      socket.on('error', silent);
+      socket.on('error', noop);
       socket.on('close', () => {
         resolve(text);
       });
@@ -118,8 +117,8 @@
     engines: httpUpstreams.createEngines(),
     services: httpUpstreams.createServices(),
     orders: httpUpstreams.createOrders(),
-    checkUpstream: silent,
-    onDrainRequest: silent,
+    checkUpstream: noop,
+    onDrainRequest: noop,
   });
   const server: http.Server = entryHttp.createServer(settings, node);
   await new Promise<void>((resolve) => {
@@ -136,7 +135,7 @@
   }
 }
 
-const NEWS = JSON.stringify({
+const ANNOUNCEMENT = JSON.stringify({
   type: 'announce',
   announcement: {
     ...{ name: 'e1', incarnation: 1, sequence: 1, address: 'http://127.0.0.1:9', kind: 'engine', labels: {} },
@@ -151,18 +150,17 @@
   return response.statusCode;
 }
 
-// A stranger announces an engine of its own; callers' prompts would be sent to it. Without the upstream key it is
-// refused and the table stays empty.
-void test.test('announcements of strangers are refused, and bodies are bounded', async () => {
+// An unauthenticated announcement would route callers' prompts to an untrusted engine.
+void test.test('announcements without the upstream key are refused, and body size is limited', async () => {
   await withEntry(async (address, node) => {
     const known = (): number => node.services.find('directory').table.all().length;
-    assert.equal(await post(address, 'wrong-key', NEWS), 401);
-    assert.equal(await post(address, '', NEWS), 401);
+    assert.equal(await post(address, 'wrong-key', ANNOUNCEMENT), 401);
+    assert.equal(await post(address, '', ANNOUNCEMENT), 401);
     assert.equal(known(), 0);
     assert.equal(await post(address, 'upstream-key', '{"type":"announce"}'), 400);
     assert.equal(await post(address, 'upstream-key', ' '.repeat(5_000_000)), 413);
     assert.equal(known(), 0);
-    assert.equal(await post(address, 'upstream-key', NEWS), 200);
+    assert.equal(await post(address, 'upstream-key', ANNOUNCEMENT), 200);
     assert.equal(known(), 1);
   });
 });
--- a/packages/kumquatfront/src/adapters/boundedOutput.spec.ts
+++ b/packages/kumquatfront/src/adapters/boundedOutput.spec.ts
@@ -1,5 +1,5 @@
 /**
- * A log that never holds its process up.
+ * Non-blocking output: order, rate limit and bounded buffer.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -7,7 +7,7 @@
 import * as virtualTime from '../kernel/virtualTime.js';
 import * as boundedOutput from './boundedOutput.js';
 
-function create(
+function createOutput(
   write: boundedOutput.WriteBytes,
   bounds: Partial<boundedOutput.OutputBounds> = {},
 ): { time: virtualTime.VirtualTime; output: boundedOutput.BoundedOutput } {
@@ -16,9 +16,9 @@
   return { time, output: new boundedOutput.BoundedOutput(time.clock, time, write, all) };
 }
 
-void test.test('lines are written in order, and those of one moment together', () => {
+void test.test('lines are written in order, and lines queued at the same time are written together', () => {
   const written: string[] = [];
-  const { time, output } = create((bytes, done) => {
+  const { time, output } = createOutput((bytes, done) => {
     written.push(Buffer.from(bytes).toString());
     done(null, bytes.length);
   });
@@ -28,30 +28,29 @@
   assert.deepEqual(written, ['one\ntwo\n']);
 });
 
-// A pipe takes half of the bytes and is full. Nothing may be lost or written twice, and the caller of `write`
-// must not wait.
-void test.test('what a full pipe did not take is written later', () => {
+// After a partial write to a full pipe no byte may be lost or written twice, and `write` must not block.
+void test.test('bytes that a full pipe did not accept are written later', () => {
   let written = '';
-  let room = 5;
-  const { time, output } = create((bytes, done) => {
-    const taken = bytes.subarray(0, room);
-    written += Buffer.from(taken).toString();
-    const error = taken.length === 0 ? Object.assign(new Error('full'), { code: 'EAGAIN' }) : null;
-    room = 0;
-    done(error, taken.length);
+  let capacity = 5;
+  const { time, output } = createOutput((bytes, done) => {
+    const accepted = bytes.subarray(0, capacity);
+    written += Buffer.from(accepted).toString();
+    const error = accepted.length === 0 ? Object.assign(new Error('full'), { code: 'EAGAIN' }) : null;
+    capacity = 0;
+    done(error, accepted.length);
   });
   output.write('abcdefgh', 'ordinary');
   time.advance(100);
   assert.equal(written, 'abcde');
-  room = 100;
+  capacity = 100;
   time.advance(100);
   assert.equal(written, 'abcdefgh\n');
 });
 
-// A flood of requests would fill the disk of whoever keeps the log, and take the processor from the requests.
-void test.test('a flood is bounded, and the next line says how much was left out', () => {
+// Without a rate limit a burst of requests would fill the log disk and take CPU time from the requests.
+void test.test('a burst of lines is limited, and the next line reports how many were dropped', () => {
   const lines: string[] = [];
-  const { time, output } = create(
+  const { time, output } = createOutput(
     (bytes, done) => {
       lines.push(...Buffer.from(bytes).toString().trim().split('\n'));
       done(null, bytes.length);
@@ -70,12 +69,12 @@
   assert.ok(lines.includes('elected'));
 });
 
-// The reader has stopped for good. The process goes on, holds a bounded amount, and leaves the rest out.
-void test.test('a reader that stops costs bounded memory', () => {
-  const { time, output } = create(() => undefined, { waiting: 1_000 });
+// A reader that never resumes must not block the process or let its buffer grow without limit.
+void test.test('memory is bounded where the reader stops', () => {
+  const { time, output } = createOutput(() => undefined, { waiting: 1_000 });
   for (let count = 0; count < 10_000; count += 1) {
     output.write('x'.repeat(50), 'important');
     time.advance(1);
   }
-  assert.ok(output.takeRest().length <= 1_100);
+  assert.ok(output.takeUnwritten().length <= 1_100);
 });
--- a/packages/kumquatfront/src/adapters/boundedOutput.ts
+++ b/packages/kumquatfront/src/adapters/boundedOutput.ts
@@ -1,55 +1,51 @@
 /**
- * Lines to a file descriptor, bounded in rate and in what waits, and never blocking.
+ * Non-blocking line output to a file descriptor, with a rate limit and a bounded buffer.
  *
- * Failure: whoever reads the log stops reading. Node.js writes to a pipe at once and waits for room, so the one
- * thread of the process would stand still, and with it every request. Here writes run beside the thread; what
- * exceeds the bounds is left out and counted, and a line says how much.
+ * Safeguard: when the reader of a log pipe stalls, a synchronous write blocks the event loop and with it every
+ * request. Writes here are asynchronous; lines beyond the bounds are dropped, and a log line reports their count.
  */
 import * as fs from 'node:fs';
 
 import type * as ports from '../kernel/ports.js';
 
-/** How much is written. */
+/** Limits on the rate and the buffered size of an output. */
 export interface OutputBounds {
-  /** Lines a second, on average. */
+  /** Sustained rate, in lines per second. */
   readonly linesPerSecond: number;
-  /** Lines that may come at once. */
+  /** Capacity of the token bucket, in lines. */
   readonly burst: number;
-  /** Characters that may wait for the reader. */
+  /** Maximum number of characters that are buffered while the reader is slow. */
   readonly waiting: number;
 }
 
-/**
- * Bounds that suit one process: three lines for each of a hundred requests a second, a burst of ten seconds of
- * quiet work, and a quarter of a megabyte for a reader that pauses.
- */
+/** Default bounds for the log of one process. */
 export const defaultBounds: OutputBounds = { linesPerSecond: 300, burst: 3_000, waiting: 262_144 };
 
-/** Pause before a full pipe is tried again. */
-const FULL_PIPE_PAUSE: ports.Milliseconds = 20;
+/** Delay before a failed write, such as one to a full pipe, is retried. */
+const FULL_PIPE_RETRY_DELAY: ports.Milliseconds = 20;
 
-/** Writes bytes to where the lines go; calls back with an error where none or not all could be written. */
+/** Writes bytes to the destination and calls back with an error, if any, and the number of bytes written. */
 export type WriteBytes = (
   bytes: Uint8Array,
   done: (error: NodeJS.ErrnoException | null, written: number) => void,
 ) => void;
 
-/** Lines that matter most are written whatever the rate; only a reader that stops leaves them out. */
-export type LineWeight = 'ordinary' | 'important';
+/** Important lines are exempt from the rate limit; they are dropped only when the buffer is full. */
+export type LinePriority = 'ordinary' | 'important';
 
-/** The output; see the module comment. */
+/** A non-blocking line output; see the module comment. */
 export class BoundedOutput {
   private readonly bounds: OutputBounds;
   private readonly clock: ports.Clock;
   private readonly scheduler: ports.Scheduler;
   private readonly writeBytes: WriteBytes;
-  private waiting: string[] = [];
-  private waitingLength = 0;
-  private rest: Uint8Array = new Uint8Array(0);
-  private writing = false;
+  private pendingLines: string[] = [];
+  private pendingCharacters = 0;
+  private unwrittenBytes: Uint8Array = new Uint8Array(0);
+  private isFlushing = false;
   private tokens: number;
   private refilledAt: ports.Milliseconds;
-  private leftOut = 0;
+  private droppedLines = 0;
 
   constructor(
     clock: ports.Clock,
@@ -65,40 +61,43 @@
     this.refilledAt = clock.now();
   }
 
-  private mayWrite(line: string, weight: LineWeight): boolean {
+  private mayWrite(line: string, priority: LinePriority): boolean {
     const now = this.clock.now();
-    const { burst, linesPerSecond, waiting } = this.bounds;
+    const { burst, linesPerSecond, waiting: maximumPendingCharacters } = this.bounds;
     this.tokens = Math.min(burst, this.tokens + ((now - this.refilledAt) * linesPerSecond) / 1_000);
     this.refilledAt = now;
-    if (this.waitingLength + line.length > waiting || (weight === 'ordinary' && this.tokens < 1)) {
+    if (
+      this.pendingCharacters + line.length > maximumPendingCharacters ||
+      (priority === 'ordinary' && this.tokens < 1)
+    ) {
       return false;
     }
     this.tokens = Math.max(0, this.tokens - 1);
     return true;
   }
 
-  /** Writes a line, or leaves it out and counts it. */
-  write(line: string, weight: LineWeight): void {
-    if (!this.mayWrite(line, weight)) {
-      this.leftOut += 1;
+  /** Queues a line for writing, or drops and counts it where it exceeds the bounds. */
+  write(line: string, priority: LinePriority): void {
+    if (!this.mayWrite(line, priority)) {
+      this.droppedLines += 1;
       return;
     }
-    if (this.leftOut > 0) {
-      this.add(`level=warn event=linesLeftOut count=${this.leftOut}`);
-      this.leftOut = 0;
+    if (this.droppedLines > 0) {
+      this.enqueue(`level=warn event=linesLeftOut count=${this.droppedLines}`);
+      this.droppedLines = 0;
     }
-    this.add(line);
-    this.flushSoon();
+    this.enqueue(line);
+    this.scheduleFlush();
   }
 
-  private add(line: string): void {
-    this.waiting.push(line);
-    this.waitingLength += line.length + 1;
+  private enqueue(line: string): void {
+    this.pendingLines.push(line);
+    this.pendingCharacters += line.length + 1;
   }
 
-  private flushSoon(): void {
-    if (!this.writing) {
-      this.writing = true;
+  private scheduleFlush(): void {
+    if (!this.isFlushing) {
+      this.isFlushing = true;
       this.scheduler.after(0, () => {
         this.flush();
       });
@@ -106,34 +105,37 @@
   }
 
   private flush(): void {
-    if (this.rest.length === 0) {
-      if (this.waiting.length === 0) {
-        this.writing = false;
+    if (this.unwrittenBytes.length === 0) {
+      if (this.pendingLines.length === 0) {
+        this.isFlushing = false;
         return;
       }
-      this.rest = Buffer.from(`${this.waiting.join('\n')}\n`);
-      this.waiting = [];
+      this.unwrittenBytes = Buffer.from(`${this.pendingLines.join('\n')}\n`);
+      this.pendingLines = [];
     }
-    this.writeBytes(this.rest, (error, written) => {
-      this.rest = this.rest.subarray(written);
-      if (this.rest.length === 0) {
-        this.waitingLength = this.waiting.reduce((sum, line) => sum + line.length + 1, 0);
+    this.writeBytes(this.unwrittenBytes, (error, written) => {
+      this.unwrittenBytes = this.unwrittenBytes.subarray(written);
+      if (this.unwrittenBytes.length === 0) {
+        this.pendingCharacters = this.pendingLines.reduce((sum, line) => sum + line.length + 1, 0);
       }
-      // A pipe whose reader is gone takes nothing any more; the process serves on without its log.
-      const pause = error === null ? 0 : FULL_PIPE_PAUSE;
-      this.scheduler.after(pause, () => {
+      // Writing to a pipe without a reader keeps failing; the process continues to serve without its log.
+      const delay = error === null ? 0 : FULL_PIPE_RETRY_DELAY;
+      this.scheduler.after(delay, () => {
         this.flush();
       });
     });
   }
 
-  /** What waits, for a last blocking write as the process ends. */
-  takeRest(): Uint8Array {
-    const last = Buffer.concat([this.rest, Buffer.from(this.waiting.map((line) => `${line}\n`).join(''))]);
-    this.rest = new Uint8Array(0);
-    this.waiting = [];
-    this.waitingLength = 0;
-    return last;
+  /** Removes and returns all unwritten bytes, for a final synchronous write at process exit. */
+  takeUnwritten(): Uint8Array {
+    const unwritten = Buffer.concat([
+      this.unwrittenBytes,
+      Buffer.from(this.pendingLines.map((line) => `${line}\n`).join('')),
+    ]);
+    this.unwrittenBytes = new Uint8Array(0);
+    this.pendingLines = [];
+    this.pendingCharacters = 0;
+    return unwritten;
   }
 }
 
@@ -141,9 +143,9 @@
  * Creates an output to a file descriptor of this process.
  *
  * @param descriptor - 1 for standard output
- * @param clock - for the rate
- * @param scheduler - for flushing
- * @returns the output; what waits at the end of the process is written then
+ * @param clock - time source of the rate limit
+ * @param scheduler - runs the flushes
+ * @returns the output; unwritten lines are written synchronously at process exit
  * @example
  * ```ts
  * const output = boundedOutput.toDescriptor(1, systemTime.clock, systemTime.scheduler);
@@ -162,9 +164,9 @@
   });
   process.once('exit', () => {
     try {
-      fs.writeSync(descriptor, output.takeRest());
+      fs.writeSync(descriptor, output.takeUnwritten());
     } catch {
-      // Nobody reads any more, and nothing is left to tell it to.
+      // The reader is gone, so the failure cannot be reported.
     }
   });
   return output;
--- a/packages/kumquatfront/src/adapters/connectionCheck.spec.ts
+++ b/packages/kumquatfront/src/adapters/connectionCheck.spec.ts
@@ -1,3 +1,6 @@
+/**
+ * Connection check against a listening and a closed port.
+ */
 import * as assert from 'node:assert/strict';
 import * as net from 'node:net';
 import * as test from 'node:test';
@@ -20,7 +23,7 @@
   });
 }
 
-void test.test('an address where something listens accepts, and refuses once that has ended', async () => {
+void test.test('the result is accepted while a server listens, and refused after it has closed', async () => {
   const { server, address } = await listen();
   assert.equal(await check(address), 'accepted');
   await new Promise((resolve) => server.close(resolve));
--- a/packages/kumquatfront/src/adapters/connectionCheck.ts
+++ b/packages/kumquatfront/src/adapters/connectionCheck.ts
@@ -1,38 +1,38 @@
 /**
- * Tries whether anything listens at an address, and sends nothing.
+ * Checks whether a process listens at an address by opening a TCP connection, without sending any data.
  */
 import * as net from 'node:net';
 
 import type * as ports from '../kernel/ports.js';
 import type * as relayTypes from '../relay/types.js';
 
-/** Without any answer for this long nothing is known: far above a round trip, as for the connections of requests. */
+/** The result is `unknown` where the connection is neither accepted nor refused within this time. */
 const CHECK_TIMEOUT: ports.Milliseconds = 400;
 
 /**
- * Tries to connect.
+ * Opens a TCP connection to an address, reports the result and closes the connection.
  *
  * @param address - `ip:port`
- * @param scheduler - for the timeout
- * @param done - told once: `refused` only where the address says that nothing listens there
+ * @param scheduler - runs the timeout
+ * @param done - called once; `refused` only where the connection was actively refused
  * @example
  * ```ts
- * connectionCheck.run('10.1.0.7:8080', scheduler, (sign) => log.info('checked', { sign }));
+ * connectionCheck.run('10.1.0.7:8080', scheduler, (result) => log.info('checked', { result }));
  * ```
  */
 export function run(
   address: string,
   scheduler: ports.Scheduler,
-  done: (sign: relayTypes.ConnectionSign) => void,
+  done: (result: relayTypes.ConnectionSign) => void,
 ): void {
   const colon = address.lastIndexOf(':');
   const socket = net.connect({ host: address.slice(0, colon), port: Number(address.slice(colon + 1)) });
   let settled = false;
-  const settle = (sign: relayTypes.ConnectionSign): void => {
+  const settle = (result: relayTypes.ConnectionSign): void => {
     if (!settled) {
       settled = true;
       cancelTimeout();
-      done(sign);
+      done(result);
     }
     socket.destroy();
   };
@@ -42,7 +42,7 @@
   socket.on('connect', () => {
     settle('accepted');
   });
-  // A busy instance may reset a connection that it has no room for; only a refusal says that nobody is there.
+  // An overloaded instance may reset a connection; only ECONNREFUSED shows that no process listens.
   socket.on('error', (error: NodeJS.ErrnoException) => {
     settle(error.code === 'ECONNREFUSED' ? 'refused' : 'unknown');
   });
--- a/packages/kumquatfront/src/adapters/controlHttp.ts
+++ b/packages/kumquatfront/src/adapters/controlHttp.ts
@@ -1,6 +1,6 @@
 /**
- * The HTTP front of a control replica, for operators. A replica that does not lead passes a change on to
- * the leader, so that operators may use any address.
+ * HTTP API of a control replica for operators. A replica that is not the leader forwards changes to the leader,
+ * so operators can use the address of any replica.
  */
 import * as http from 'node:http';
 
@@ -15,12 +15,13 @@
 import * as httpAnswers from './httpAnswers.js';
 import * as peerAuthentication from './peerAuthentication.js';
 
-/** What the front is made from. */
+/** Options of the operator HTTP API. */
 export interface ControlHttpOptions {
   readonly node: controlNode.ControlNode;
   readonly peers: ports.PeerTransport;
-  /** SHA-256 of the operators' bearer key. */
+  /** SHA-256 hash of the operators' bearer key. */
   readonly operatorKeyHash: string;
+  /** Peer addresses of all control replicas. */
   readonly control: readonly string[];
 }
 
@@ -30,9 +31,9 @@
 const STATUS_TIMEOUT = 1_000;
 
 /**
- * Creates the server.
+ * Creates the HTTP server of a control replica.
  *
- * @param options - the replica and the operators' key
+ * @param options - the control replica, the peer transport and the hash of the operators' key
  * @returns the server, not yet listening
  * @example
  * ```ts
@@ -42,7 +43,7 @@
 export function createServer(options: ControlHttpOptions): http.Server {
   return http.createServer(httpAnswers.serverOptions, (request, response) => {
     const hash = trafficResolver.hashKey(httpAnswers.bearerKey(request));
-    if (!peerAuthentication.isSame(hash, options.operatorKeyHash)) {
+    if (!peerAuthentication.timingSafeEqual(hash, options.operatorKeyHash)) {
       const remedy = 'Send the operators key in the Authorization header.';
       httpAnswers.sendFailure(
         response,
@@ -69,25 +70,25 @@
   } else if (request.method === 'POST' && url.pathname === '/v1/drains') {
     drainEntry(options, request, response);
   } else if (request.method === 'POST' && url.pathname === '/v1/orders') {
-    placeOrder(options, request, response);
+    submitOrder(options, request, response);
   } else if ((request.method === 'PUT' || request.method === 'DELETE') && dataCentre !== undefined) {
     const type = request.method === 'PUT' ? 'evacuate' : 'restore';
-    orderDataCentre(options, { type, dataCentre }, response);
+    evacuateOrRestore(options, { type, dataCentre }, response);
   } else if (request.method === 'GET' && kind !== undefined) {
-    finish(response, options.node.read(kind, name), (objects) => ({ objects }));
+    sendResult(response, options.node.read(kind, name), (objects) => ({ objects }));
   } else if (
     (request.method === 'PUT' || request.method === 'DELETE') &&
     kind !== undefined &&
     name !== undefined
   ) {
-    change(options, kind, name, request, response);
+    configureObject(options, kind, name, request, response);
   } else {
     const remedy = 'See docs/http.md for the paths.';
     httpAnswers.sendFailure(response, failures.create('notFound', `There is no ${url.pathname}.`, remedy));
   }
 }
 
-function finish<Value>(
+function sendResult<Value>(
   response: http.ServerResponse,
   result: results.Result<Value, failures.Failure>,
   toBody: (value: Value) => unknown,
@@ -99,7 +100,7 @@
   }
 }
 
-function parseChange(
+function parseConfigureCommand(
   kind: string,
   name: string,
   isDelete: boolean,
@@ -125,7 +126,7 @@
   });
 }
 
-function change(
+function configureObject(
   options: ControlHttpOptions,
   kind: string,
   name: string,
@@ -135,20 +136,20 @@
   httpAnswers.readBody(request, (text) => {
     const command = text
       .andThen(httpAnswers.parseObject)
-      .andThen((body) => parseChange(kind, name, request.method === 'DELETE', body));
+      .andThen((body) => parseConfigureCommand(kind, name, request.method === 'DELETE', body));
     if (command.err) {
       httpAnswers.sendFailure(response, command.val);
       return;
     }
     options.node.configure(command.val, (result) => {
       forwardToLeader(options, methods.methods.configure, command.val, result, (final) => {
-        sendChangeAnswer(response, final);
+        sendConfigureAnswer(response, final);
       });
     });
   });
 }
 
-/** Passes a call on where this replica does not lead; the leader's answer is final. */
+/** Forwards a call to the leader where this replica answered `notLeader`; otherwise returns its own result. */
 function forwardToLeader(
   options: ControlHttpOptions,
   method: string,
@@ -164,7 +165,7 @@
   options.peers.request(leader, method, parameters, FORWARD_TIMEOUT, done);
 }
 
-function sendChangeAnswer(
+function sendConfigureAnswer(
   response: http.ServerResponse,
   result: results.Result<unknown, failures.Failure>,
 ): void {
@@ -180,105 +181,110 @@
   }
 }
 
-function placeOrder(
+function submitOrder(
   options: ControlHttpOptions,
   request: http.IncomingMessage,
   response: http.ServerResponse,
 ): void {
   httpAnswers.readBody(request, (text) => {
-    const body = text.andThen(httpAnswers.parseObject).andThen(parseOrder);
+    const body = text.andThen(httpAnswers.parseObject).andThen(parseOrderCommand);
     if (body.err) {
       httpAnswers.sendFailure(response, body.val);
       return;
     }
     options.node.services.find('replica').propose(body.val, (result) => {
       forwardToLeader(options, methods.methods.order, body.val, result, (final) => {
-        finish(response, final, (order) => order);
+        sendResult(response, final, (order) => order);
       });
     });
   });
 }
 
-function orderDataCentre(
+function evacuateOrRestore(
   options: ControlHttpOptions,
   command: agreedState.DataCentreCommand,
   response: http.ServerResponse,
 ): void {
   options.node.orderDataCentre(command, (result) => {
     forwardToLeader(options, methods.methods.evacuate, command, result, (final) => {
-      finish(response, final, (evacuations) => evacuations);
+      sendResult(response, final, (evacuations) => evacuations);
     });
   });
 }
 
-function parseOrder(
+function parseOrderCommand(
   body: Record<string, unknown>,
 ): results.Result<agreedState.OrderCommand, failures.Failure> {
   const { orderId, upstream, action, target } = body;
-  const known = action === 'loadModel' || action === 'loadAdapter' || action === 'changeRole';
-  if (typeof orderId !== 'string' || typeof upstream !== 'string' || typeof target !== 'string' || !known) {
+  const isKnownAction = action === 'loadModel' || action === 'loadAdapter' || action === 'changeRole';
+  if (
+    typeof orderId !== 'string' ||
+    typeof upstream !== 'string' ||
+    typeof target !== 'string' ||
+    !isKnownAction
+  ) {
     const remedy = 'Send orderId, upstream, target, and an action of loadModel, loadAdapter or changeRole.';
     return results.Err(failures.create('badInput', 'The order is not complete.', remedy));
   }
   return results.Ok({ type: 'order', orderId, upstream, order: { action, target } });
 }
 
-/** Asks all addresses and calls back once with what answered. */
-function askAll(
+/** Sends a request to all addresses and calls back once with the answers and the addresses that did not answer. */
+function requestFromAll(
   options: ControlHttpOptions,
   addresses: readonly string[],
   method: string,
-  done: (answers: readonly unknown[], silent: readonly string[]) => void,
+  done: (answers: readonly unknown[], unresponsive: readonly string[]) => void,
 ): void {
   const answers: unknown[] = [];
-  const silent: string[] = [];
-  let open = addresses.length;
-  if (open === 0) {
-    done(answers, silent);
+  const unresponsive: string[] = [];
+  let remaining = addresses.length;
+  if (remaining === 0) {
+    done(answers, unresponsive);
   }
   for (const address of addresses) {
     options.peers.request(address, method, null, STATUS_TIMEOUT, (result) => {
       if (result.ok) {
         answers.push(result.val);
       } else {
-        silent.push(address);
+        unresponsive.push(address);
       }
-      open -= 1;
-      if (open === 0) {
-        done(answers, silent);
+      remaining -= 1;
+      if (remaining === 0) {
+        done(answers, unresponsive);
       }
     });
   }
 }
 
-/** Gathers the status of every replica: each knows only the entries that pulled from it. */
-function gatherStatus(
+/** Collects the status of all replicas, since each lists only the entries that fetched updates from it. */
+function collectStatus(
   options: ControlHttpOptions,
-  done: (replicas: readonly methods.ControlStatus[], silent: readonly string[]) => void,
+  done: (replicas: readonly methods.ControlStatus[], unresponsive: readonly string[]) => void,
 ): void {
-  askAll(options, options.control, methods.methods.status, (answers, silent) => {
-    done(answers as readonly methods.ControlStatus[], silent);
+  requestFromAll(options, options.control, methods.methods.status, (answers, unresponsive) => {
+    done(answers as readonly methods.ControlStatus[], unresponsive);
   });
 }
 
 function sendStatus(options: ControlHttpOptions, response: http.ServerResponse): void {
-  gatherStatus(options, (replicas, silent) => {
-    httpAnswers.sendJson(response, 200, { replicas, silent });
+  collectStatus(options, (replicas, unresponsive) => {
+    httpAnswers.sendJson(response, 200, { replicas, silent: unresponsive });
   });
 }
 
-/** Peer addresses of the entries that some replica has heard from, by name. */
-function entriesOf(replicas: readonly methods.ControlStatus[]): ReadonlyMap<string, string> {
+/** Maps the names of all entries known to any replica to their peer addresses. */
+function entryAddresses(replicas: readonly methods.ControlStatus[]): ReadonlyMap<string, string> {
   return new Map(
     replicas.flatMap((replica) => replica.entries.map((entry) => [entry.name, entry.peerAddress])),
   );
 }
 
 function sendBurn(options: ControlHttpOptions, response: http.ServerResponse): void {
-  gatherStatus(options, (replicas) => {
-    const addresses = [...new Set(entriesOf(replicas).values())];
-    askAll(options, addresses, methods.methods.entryBurn, (counts, silent) => {
-      httpAnswers.sendJson(response, 200, { counts, silent });
+  collectStatus(options, (replicas) => {
+    const addresses = [...new Set(entryAddresses(replicas).values())];
+    requestFromAll(options, addresses, methods.methods.entryBurn, (counts, unresponsive) => {
+      httpAnswers.sendJson(response, 200, { counts, silent: unresponsive });
     });
   });
 }
@@ -291,8 +297,8 @@
   httpAnswers.readBody(request, (text) => {
     const body = text.andThen(httpAnswers.parseObject);
     const name = body.ok && typeof body.val.entry === 'string' ? body.val.entry : '';
-    gatherStatus(options, (replicas) => {
-      const address = entriesOf(replicas).get(name);
+    collectStatus(options, (replicas) => {
+      const address = entryAddresses(replicas).get(name);
       if (address === undefined) {
         const remedy = '`kumquatfront status` lists the entries.';
         httpAnswers.sendFailure(
@@ -302,7 +308,7 @@
         return;
       }
       options.peers.request(address, methods.methods.entryDrain, null, STATUS_TIMEOUT, (result) => {
-        finish(response, result, () => ({ entry: name, drains: true }));
+        sendResult(response, result, () => ({ entry: name, drains: true }));
       });
     });
   });
--- a/packages/kumquatfront/src/adapters/entryHttp.ts
+++ b/packages/kumquatfront/src/adapters/entryHttp.ts
@@ -1,5 +1,5 @@
 /**
- * The HTTP front of an entry, for callers and upstreams.
+ * HTTP API of an entry for callers and upstreams.
  */
 import * as http from 'node:http';
 
@@ -11,17 +11,17 @@
 import type * as streams from '../streams/types.js';
 import * as httpAnswers from './httpAnswers.js';
 import * as peerAuthentication from './peerAuthentication.js';
-import * as streamAnswers from './streamAnswers.js';
+import * as generationResponses from './generationResponses.js';
 
 const GENERATION_PATHS: readonly string[] = ['/v1/completions', '/v1/chat/completions'];
 const SERVICE_PATH = /^\/v1\/services\/([A-Za-z0-9._-]{1,63})(\/.*)?$/;
 const REQUEST_PATH = /^\/v1\/requests\/([A-Za-z0-9]{1,64})$/;
 
 /**
- * Creates the server.
+ * Creates the HTTP server of an entry.
  *
  * @param settings - the entry's settings
- * @param entry - the entry
+ * @param entry - the entry that handles the requests
  * @returns the server, not yet listening
  * @example
  * ```ts
@@ -34,7 +34,7 @@
     if (request.method === 'GET' && url.pathname === '/v1/entries') {
       sendAddresses(settings, entry, response);
     } else if (request.method === 'POST' && url.pathname === '/v1/announcements') {
-      takeNews(settings, entry, request, response);
+      handleAnnouncement(settings, entry, request, response);
     } else if (request.method === 'POST' && GENERATION_PATHS.includes(url.pathname)) {
       generate(entry, url.pathname, request, response);
     } else if (request.method === 'GET' && REQUEST_PATH.test(url.pathname)) {
@@ -62,16 +62,16 @@
 
 function isUpstream(settings: entryTypes.EntrySettings, request: http.IncomingMessage): boolean {
   const hash = trafficResolver.hashKey(httpAnswers.bearerKey(request));
-  return peerAuthentication.isSame(hash, settings.upstreamKeyHash);
+  return peerAuthentication.timingSafeEqual(hash, settings.upstreamKeyHash);
 }
 
-function takeNews(
+function handleAnnouncement(
   settings: entryTypes.EntrySettings,
   entry: entryNode.EntryNode,
   request: http.IncomingMessage,
   response: http.ServerResponse,
 ): void {
-  // A stranger that announces itself would be sent callers' prompts.
+  // An unauthenticated announcement would route callers' prompts to an untrusted process.
   if (!isUpstream(settings, request)) {
     const remedy = 'Announce with the upstream key of this cluster.';
     httpAnswers.sendFailure(
@@ -81,12 +81,12 @@
     return;
   }
   httpAnswers.readBody(request, (body) => {
-    const news = body.andThen(newsParser.parse);
-    if (news.err) {
-      httpAnswers.sendFailure(response, news.val);
+    const update = body.andThen(newsParser.parse);
+    if (update.err) {
+      httpAnswers.sendFailure(response, update.val);
       return;
     }
-    entry.takeNews(news.val);
+    entry.takeNews(update.val);
     httpAnswers.sendJson(response, 200, { entries: entry.addresses() });
   });
 }
@@ -122,8 +122,8 @@
     }
     const streaming = body.val.stream === true;
     const answer = streaming
-      ? new streamAnswers.EventAnswer(response)
-      : new streamAnswers.WholeJsonAnswer(response, path);
+      ? new generationResponses.EventStreamResponse(response)
+      : new generationResponses.BufferedJsonResponse(response, path);
     const handle = entry.requests.generate(
       {
         bearerKey: httpAnswers.bearerKey(request),
@@ -134,11 +134,11 @@
       },
       answer,
     );
-    attach(response, handle);
+    attachStreamHandle(response, handle);
   });
 }
 
-function attach(response: http.ServerResponse, handle: streams.StreamHandle): void {
+function attachStreamHandle(response: http.ServerResponse, handle: streams.StreamHandle): void {
   response.on('drain', () => {
     handle.drained();
   });
@@ -153,7 +153,7 @@
   request: http.IncomingMessage,
   response: http.ServerResponse,
 ): void {
-  const answer = new streamAnswers.EventAnswer(response);
+  const answer = new generationResponses.EventStreamResponse(response);
   const handle = entry.requests.resume(
     {
       bearerKey: httpAnswers.bearerKey(request),
@@ -163,7 +163,7 @@
     },
     answer,
   );
-  attach(response, handle);
+  attachStreamHandle(response, handle);
 }
 
 function callService(
@@ -190,8 +190,8 @@
         idempotencyKey: httpAnswers.header(request, 'idempotency-key'),
       },
       {
-        answered: (answer, repeated) => {
-          const headers = { 'content-type': answer.contentType, 'idempotency-replayed': String(repeated) };
+        answered: (answer, replayed) => {
+          const headers = { 'content-type': answer.contentType, 'idempotency-replayed': String(replayed) };
           response.writeHead(answer.status, headers);
           response.end(answer.body);
         },
--- a/packages/kumquatfront/src/adapters/fileDisk.spec.ts
+++ b/packages/kumquatfront/src/adapters/fileDisk.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The data folder on a real disk that fills up.
+ * File system disk: behaviour on a full disk and atomic replacement of files.
  */
 import * as assert from 'node:assert/strict';
 import * as fs from 'node:fs';
@@ -11,26 +11,26 @@
 
 const FULL_DEVICE = '/dev/full';
 
-// The disk is full for a while. Ended and started again, the process would only be full once more, each time
-// away from its peers for a second; and half a record left by the failed write would read as a damaged log.
-void test.test('a write that finds the disk full is made once there is room', async (context) => {
+// A write to a full disk must be retried without exiting the process, and a failed write must not leave a partial
+// record, which would corrupt the log.
+void test.test('a write that fails on a full disk succeeds once there is free space', async (context) => {
   if (!fs.existsSync(FULL_DEVICE)) {
-    context.diagnostic('this system has no device that is always full');
+    context.diagnostic('skipped: this system has no /dev/full');
     return;
   }
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'kumquatfront-disk-'));
   const log = path.join(folder, 'log');
   fs.symlinkSync(FULL_DEVICE, log);
   const failures: unknown[] = [];
-  let foundFull: (file: string) => void = () => undefined;
+  let reportFull: (file: string) => void = () => undefined;
   const full = new Promise<string>((resolve) => {
-    foundFull = resolve;
+    reportFull = resolve;
   });
   const disk = fileDisk.open(
     folder,
     (error) => failures.push(error),
     (file) => {
-      foundFull(file);
+      reportFull(file);
     },
   );
   const synced = new Promise<void>((resolve) => {
@@ -45,7 +45,7 @@
   fs.rmSync(folder, { recursive: true });
 });
 
-void test.test('a replaced file is whole, and later appends go behind it', async () => {
+void test.test('a replaced file is complete, and later appends follow its new content', async () => {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'kumquatfront-disk-'));
   const disk = fileDisk.open(folder, (error) => {
     throw error as Error;
--- a/packages/kumquatfront/src/adapters/fileDisk.ts
+++ b/packages/kumquatfront/src/adapters/fileDisk.ts
@@ -1,23 +1,23 @@
 /**
- * The data folder on a real disk. Operations run one after another, in the order in which they were asked.
+ * File system implementation of the disk port. Operations run sequentially, in the order in which they were requested.
  */
 import * as fs from 'node:fs';
 import * as path from 'node:path';
 
 import type * as ports from '../kernel/ports.js';
 
-/** Called when the disk fails: after a failed sync nothing that was written is certain. */
+/** Called when an operation fails; after a failed sync the durability of earlier writes is unknown. */
 export type OnDiskFailure = (error: unknown) => void;
 
-/** Called each time a write finds the disk full; it is tried again until there is room. */
+/** Called each time a write fails because the disk is full; the write is retried until it succeeds. */
 export type OnDiskFull = (file: string) => void;
 
-/** Pause before a write that found the disk full is tried again. */
-const FULL_DISK_PAUSE_MS = 250;
+/** Delay before a write that failed on a full disk is retried. */
+const FULL_DISK_RETRY_DELAY_MS = 250;
 
 const FULL_DISK_CODES: ReadonlySet<string | undefined> = new Set(['ENOSPC', 'EDQUOT']);
 
-function isFull(error: unknown): boolean {
+function isDiskFull(error: unknown): boolean {
   return FULL_DISK_CODES.has((error as NodeJS.ErrnoException).code);
 }
 
@@ -26,7 +26,7 @@
   private readonly onFailure: OnDiskFailure;
   private readonly onFull: OnDiskFull;
   private readonly handles = new Map<string, fs.promises.FileHandle>();
-  private readonly unwritten = new Map<string, Uint8Array[]>();
+  private readonly pendingAppends = new Map<string, Uint8Array[]>();
   private queue: Promise<void> = Promise.resolve();
 
   constructor(folder: string, onFailure: OnDiskFailure, onFull: OnDiskFull) {
@@ -46,24 +46,24 @@
   }
 
   append(file: string, bytes: Uint8Array): void {
-    const known = this.unwritten.get(file);
-    if (known !== undefined) {
-      known.push(bytes);
+    const pending = this.pendingAppends.get(file);
+    if (pending !== undefined) {
+      pending.push(bytes);
       return;
     }
     const chunks = [bytes];
-    this.unwritten.set(file, chunks);
-    // Appends that come before the queue gets here are written together.
+    this.pendingAppends.set(file, chunks);
+    // Appends to the same file that arrive before this operation runs are written in one batch.
     this.enqueue(async () => {
-      this.unwritten.delete(file);
-      const bytesOfAll = Buffer.concat(chunks);
-      await this.whileFull(file, () => this.appendWhole(file, bytesOfAll));
+      this.pendingAppends.delete(file);
+      const combined = Buffer.concat(chunks);
+      await this.retryWhileFull(file, () => this.appendAtomically(file, combined));
     });
   }
 
-  /** Appends all or nothing: half a record in front of the next try would read as a damaged log. */
-  private async appendWhole(file: string, bytes: Uint8Array): Promise<void> {
-    const handle = await this.handleOf(file);
+  /** Appends all bytes or none: a partial record followed by a retry would corrupt the log. */
+  private async appendAtomically(file: string, bytes: Uint8Array): Promise<void> {
+    const handle = await this.openHandle(file);
     const { size } = await handle.stat();
     try {
       await handle.appendFile(bytes);
@@ -76,42 +76,42 @@
   }
 
   /**
-   * Tries a write until the disk has room. Ending the process would not make any; meanwhile nothing is answered
-   * for that is not on the disk, so to the others this replica is merely silent.
+   * Retries a write while the disk is full. A restart would not free space, and nothing is acknowledged before it
+   * is on disk, so the other replicas see this one only as unresponsive.
    */
-  private async whileFull(file: string, write: () => Promise<void>): Promise<void> {
+  private async retryWhileFull(file: string, write: () => Promise<void>): Promise<void> {
     for (;;) {
       try {
         await write();
         return;
       } catch (error) {
-        if (!isFull(error)) {
+        if (!isDiskFull(error)) {
           throw error;
         }
         this.onFull(file);
-        await new Promise((resolve) => setTimeout(resolve, FULL_DISK_PAUSE_MS));
+        await new Promise((resolve) => setTimeout(resolve, FULL_DISK_RETRY_DELAY_MS));
       }
     }
   }
 
   sync(file: string, done: () => void): void {
-    this.unwritten.delete(file);
+    this.pendingAppends.delete(file);
     this.enqueue(async () => {
-      const handle = await this.handleOf(file);
+      const handle = await this.openHandle(file);
       await handle.datasync();
       done();
     });
   }
 
   replace(file: string, bytes: Uint8Array, done: () => void): void {
-    this.unwritten.delete(file);
+    this.pendingAppends.delete(file);
     this.enqueue(async () => {
-      await this.whileFull(file, () => this.replaceWhole(file, bytes));
+      await this.retryWhileFull(file, () => this.replaceAtomically(file, bytes));
       done();
     });
   }
 
-  private async replaceWhole(file: string, bytes: Uint8Array): Promise<void> {
+  private async replaceAtomically(file: string, bytes: Uint8Array): Promise<void> {
     const temporary = this.pathOf(`${file}.new`);
     const handle = await fs.promises.open(temporary, 'w');
     try {
@@ -126,10 +126,10 @@
     await this.syncFolder();
   }
 
-  private async handleOf(file: string): Promise<fs.promises.FileHandle> {
-    const known = this.handles.get(file);
-    if (known !== undefined) {
-      return known;
+  private async openHandle(file: string): Promise<fs.promises.FileHandle> {
+    const existing = this.handles.get(file);
+    if (existing !== undefined) {
+      return existing;
     }
     const isNew = !fs.existsSync(this.pathOf(file));
     const handle = await fs.promises.open(this.pathOf(file), 'a');
@@ -154,12 +154,12 @@
 }
 
 /**
- * Opens a data folder, creating it where it is missing.
+ * Opens a data folder and creates it where it does not exist.
  *
- * @param folder - its path
- * @param onFailure - called when a write or sync fails; the process should end, since going on would answer
- * for data that may be gone
- * @param onFull - called each time a write finds the disk full and waits
+ * @param folder - path of the folder
+ * @param onFailure - called when a write or sync fails; the process should exit, since it could otherwise
+ * acknowledge data that was not persisted
+ * @param onFull - called each time a write fails because the disk is full
  * @returns the disk
  * @example
  * ```ts
--- a/packages/kumquatfront/src/adapters/freshExchange.ts
+++ b/packages/kumquatfront/src/adapters/freshExchange.ts
@@ -1,9 +1,8 @@
 /**
- * One HTTP exchange on a connection of its own.
+ * HTTP client that sends each request on a new connection.
  *
- * Why no kept connections: an upstream may send a second answer late, drop an idle connection unseen, or go
- * silent on an old one; on a connection that serves one request each of these is that request's own failure,
- * and nothing can be mistaken for the next answer. It costs one round trip and a millisecond of set-up.
+ * Connections are not reused: a late duplicate response, a silently dropped idle connection or an unresponsive old
+ * one then affects only the request it belongs to, and no response can be mistaken for that of the next request.
  */
 import * as http from 'node:http';
 import * as net from 'node:net';
@@ -12,16 +11,13 @@
 import type * as relayTypes from '../relay/types.js';
 import * as rawHeaders from './rawHeaders.js';
 
-/**
- * A connection that is not open by then is given up: nothing was sent, so another upstream can be asked. Far
- * above a round trip and a set-up, below the second after which a lost opening packet is sent again.
- */
+/** Connecting is aborted after this time; nothing was sent, so another upstream can be tried. */
 const CONNECT_TIMEOUT: ports.Milliseconds = 400;
 
-/** The most of an answer's header that is read. */
+/** Maximum size of a response header. */
 const MAXIMUM_HEADER_BYTES = 65_536;
 
-/** A request, ready to be written. */
+/** A request to an upstream. */
 export interface FreshRequest {
   /** `ip:port` */
   readonly address: string;
@@ -31,8 +27,8 @@
   readonly body: Uint8Array;
 }
 
-/** Hears of the exchange; `end` or `failed` comes last, once, unless it is cancelled. */
-export interface FreshListener {
+/** Receives the events of an exchange; unless it is cancelled, the last one is a single `onEnd` or `onFailed`. */
+export interface ExchangeListener {
   readonly head: (status: number, headers: readonly relayTypes.Header[]) => void;
   readonly data: (bytes: Uint8Array) => void;
   readonly end: () => void;
@@ -40,61 +36,60 @@
 }
 
 /**
- * Learns, when a connection ends, whether it was reset in truth.
+ * Detects whether a connection that reported its end was in fact reset.
  *
- * When the last bytes and the reset arrive together, the event loop reports a plain end and keeps the error to
- * itself; an answer without a length that was cut in half would be handed over as whole. Writing nothing
- * brings the error out, and sends no byte.
+ * Safeguard: when the last bytes and a reset arrive together, Node.js reports only an end, and a truncated response
+ * without a length would be taken as complete. A write of zero bytes exposes the error without sending anything.
  *
- * @param socket - the connection, which must allow writing after the peer's end
- * @returns calls back with true where it was reset; ask once the end has come
+ * @param socket - the connection, opened with `allowHalfOpen`
+ * @returns a function that calls back with true where the connection was reset; call it after the end event
  */
-function watchEnd(socket: net.Socket): (done: (reset: boolean) => void) => void {
-  let verdict: boolean | undefined;
-  let waiting: ((reset: boolean) => void) | undefined;
+function detectReset(socket: net.Socket): (done: (reset: boolean) => void) => void {
+  let wasReset: boolean | undefined;
+  let pendingCallback: ((reset: boolean) => void) | undefined;
   socket.prependListener('end', () => {
     socket.write(new Uint8Array(0), (error) => {
-      verdict = error !== undefined && error !== null;
-      waiting?.(verdict);
+      wasReset = error !== undefined && error !== null;
+      pendingCallback?.(wasReset);
     });
   });
   return (done) => {
-    if (verdict === undefined) {
-      waiting = done;
+    if (wasReset === undefined) {
+      pendingCallback = done;
     } else {
-      done(verdict);
+      done(wasReset);
     }
   };
 }
 
-/** True where an answer says itself where it ends. */
-function isFramed(incoming: http.IncomingMessage): boolean {
+/** Whether the headers of a response delimit its body, so that its end does not depend on the connection. */
+function hasExplicitLength(incoming: http.IncomingMessage): boolean {
   const { headers } = incoming;
   return headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
 }
 
 /**
- * Sends a request.
+ * Sends a request on a new connection.
  *
- * @param request - what to send, and where
- * @param scheduler - for the timeout of connecting
- * @param listener - hears of the answer
- * @returns cancels the exchange and closes its connection
+ * @param request - the request and the address of the upstream
+ * @param scheduler - runs the connect timeout
+ * @param listener - receives the response
+ * @returns a function that cancels the exchange and closes its connection
  * @example
  * ```ts
- * const cancel = freshExchange.send(request, scheduler, listener);
+ * const cancel = singleUseConnection.send(request, scheduler, listener);
  * ```
  */
 export function send(
   request: FreshRequest,
   scheduler: ports.Scheduler,
-  listener: FreshListener,
+  listener: ExchangeListener,
 ): relayTypes.CancelExchange {
   const colon = request.address.lastIndexOf(':');
   const host = request.address.slice(0, colon);
   const port = Number(request.address.slice(colon + 1));
   let connected = false;
-  let done = false;
+  let settled = false;
   let response: http.IncomingMessage | undefined;
   const outgoing = http.request({
     host,
@@ -102,32 +97,32 @@
     method: request.method,
     path: request.path,
     headers: [...request.headers, ['Connection', 'close'] as const].flat(),
-    // Kept open for writing after the upstream's end, so that `watchEnd` can tell an end from a reset.
+    // Half-open, so that `detectReset` can write after the upstream has ended its side.
     createConnection: () => net.connect({ host, port, allowHalfOpen: true }),
     maxHeaderSize: MAXIMUM_HEADER_BYTES,
   });
   const settle = (): boolean => {
-    if (done) {
+    if (settled) {
       return false;
     }
-    done = true;
+    settled = true;
     cancelConnecting();
     return true;
   };
-  const fail = (failure: relayTypes.ExchangeFailure, reason: string): void => {
+  const fail = (kind: relayTypes.ExchangeFailure, reason: string): void => {
     if (settle()) {
-      listener.failed(failure, reason);
+      listener.failed(kind, reason);
     }
     outgoing.destroy();
   };
   const cancelConnecting = scheduler.after(CONNECT_TIMEOUT, () => {
-    fail('notSent', 'the connection did not open in time');
+    fail('notSent', 'the connection was not established in time');
   });
-  let ended: (done: (reset: boolean) => void) => void = (end) => {
+  let checkReset: (done: (reset: boolean) => void) => void = (end) => {
     end(false);
   };
   outgoing.on('socket', (socket) => {
-    ended = watchEnd(socket);
+    checkReset = detectReset(socket);
     socket.setNoDelay(true);
     socket.once('connect', () => {
       connected = true;
@@ -135,26 +130,26 @@
     });
   });
   outgoing.on('error', (error: NodeJS.ErrnoException) => {
-    // Bytes behind a whole answer belong to no request; the answer itself is sound.
+    // Extra bytes after a complete response belong to no request; the response itself is valid.
     if (response?.complete === true) {
       return;
     }
-    const garbled = error.code?.startsWith('HPE_') === true;
-    fail(connected ? (garbled ? 'garbled' : 'broken') : 'notSent', error.message);
+    const isParseError = error.code?.startsWith('HPE_') === true;
+    fail(connected ? (isParseError ? 'garbled' : 'broken') : 'notSent', error.message);
   });
   outgoing.on('response', (incoming) => {
     response = incoming;
-    if (done) {
+    if (settled) {
       return;
     }
     incoming.on('data', (bytes: Buffer) => {
-      if (!done) {
+      if (!settled) {
         listener.data(bytes);
       }
     });
     incoming.on('end', () => {
       if (!incoming.complete) {
-        fail('broken', 'the answer ended early');
+        fail('broken', 'the response ended early');
         return;
       }
       const finish = (reset: boolean): void => {
@@ -164,10 +159,10 @@
           listener.end();
         }
       };
-      if (isFramed(incoming)) {
+      if (hasExplicitLength(incoming)) {
         finish(false);
       } else {
-        ended(finish);
+        checkReset(finish);
       }
     });
     incoming.on('error', (error) => {
@@ -175,14 +170,14 @@
     });
     incoming.on('close', () => {
       if (!incoming.complete) {
-        fail('broken', 'the connection closed before the answer was whole');
+        fail('broken', 'the connection closed before the response was complete');
       }
     });
-    listener.head(incoming.statusCode ?? 0, rawHeaders.pairs(incoming.rawHeaders));
+    listener.head(incoming.statusCode ?? 0, rawHeaders.toPairs(incoming.rawHeaders));
   });
   outgoing.on('close', () => {
     if (response === undefined) {
-      fail(connected ? 'broken' : 'notSent', 'the connection closed without an answer');
+      fail(connected ? 'broken' : 'notSent', 'the connection closed without a response');
     }
   });
   outgoing.end(request.body);
--- a/packages/kumquatfront/src/adapters/streamAnswers.ts
+++ b/packages/kumquatfront/src/adapters/generationResponses.ts
@@ -1,5 +1,5 @@
 /**
- * The two forms in which a caller gets a generation: as events while it grows, or whole.
+ * HTTP responses for generations: a stream of server-sent events, or one JSON body.
  */
 import type * as http from 'node:http';
 
@@ -11,8 +11,8 @@
 
 const KEEP_ALIVE_INTERVAL = 1_000;
 
-/** Server-sent events; the id of each is the resume token for what follows it. */
-export class EventAnswer implements streams.GenerationCaller {
+/** Streams a generation as server-sent events; the id of each event is the token to resume after it. */
+export class EventStreamResponse implements streams.GenerationCaller {
   private readonly response: http.ServerResponse;
   private cancelKeepAlive: ports.Cancel = () => undefined;
 
@@ -23,14 +23,14 @@
     });
   }
 
-  /** Comments at intervals tell a waiting caller a crowded engine from an entry that is frozen or cut off. */
-  private keepAlive(): void {
+  /** Sends periodic comments, so that a caller can tell a slow engine from an unresponsive entry. */
+  private scheduleKeepAlive(): void {
     this.cancelKeepAlive();
     this.cancelKeepAlive = systemTime.scheduler.after(KEEP_ALIVE_INTERVAL, () => {
       if (!this.response.writableNeedDrain && !this.response.writableEnded) {
         this.response.write(': alive\n\n');
       }
-      this.keepAlive();
+      this.scheduleKeepAlive();
     });
   }
 
@@ -38,7 +38,7 @@
     if (this.response.headersSent) {
       return;
     }
-    this.keepAlive();
+    this.scheduleKeepAlive();
     this.response.writeHead(200, {
       'content-type': 'text/event-stream',
       'cache-control': 'no-store',
@@ -68,32 +68,32 @@
   }
 }
 
-/** One JSON body when the generation is whole; nothing is sent before, so a restart goes unseen. */
-export class WholeJsonAnswer implements streams.GenerationCaller {
+/** Buffers a generation and sends it as one JSON body on completion, so a restart is invisible to the caller. */
+export class BufferedJsonResponse implements streams.GenerationCaller {
   private readonly response: http.ServerResponse;
-  private readonly answer: wholeAnswer.WholeAnswer;
+  private readonly aggregator: wholeAnswer.WholeAnswer;
 
   constructor(response: http.ServerResponse, path: string) {
     this.response = response;
-    this.answer = new wholeAnswer.WholeAnswer(path);
+    this.aggregator = new wholeAnswer.WholeAnswer(path);
   }
 
   accepted(): void {
-    // Nothing is sent before the answer is whole.
+    // Nothing is sent before the generation is complete.
   }
 
   token(_resumeToken: string, _index: number, data: string): boolean {
-    this.answer.add(data);
+    this.aggregator.add(data);
     return true;
   }
 
   restarted(): void {
-    this.answer.restart();
+    this.aggregator.restart();
   }
 
   ended(count: number): void {
     this.response.writeHead(200, { 'content-type': 'application/json' });
-    this.response.end(this.answer.finish(count));
+    this.response.end(this.aggregator.finish(count));
   }
 
   refused(refusal: streams.Refusal): void {
--- a/packages/kumquatfront/src/adapters/httpAnswers.ts
+++ b/packages/kumquatfront/src/adapters/httpAnswers.ts
@@ -1,5 +1,5 @@
 /**
- * What the HTTP fronts share: reading bodies within bounds, and answers in JSON.
+ * Helpers shared by the HTTP servers: server options, size-limited request bodies, headers and JSON responses.
  */
 import type * as http from 'node:http';
 
@@ -7,46 +7,46 @@
 import * as results from '../kernel/results.js';
 import type * as streams from '../streams/types.js';
 
-/** Bounds of the HTTP fronts. */
-export const BODY_LIMIT = 4 * 1024 * 1024;
-const HEADER_LIMIT = 16 * 1024;
+/** Maximum size of a request body. */
+export const MAXIMUM_BODY_BYTES = 4 * 1024 * 1024;
+const MAXIMUM_HEADER_BYTES = 16 * 1024;
 
-/** Options of every HTTP server of the system. */
+/** Options shared by the HTTP servers of entries and control replicas. */
 export const serverOptions: http.ServerOptions = {
-  maxHeaderSize: HEADER_LIMIT,
-  // A caller that sends its headers or body a byte at a time holds a connection for this long at most.
+  maxHeaderSize: MAXIMUM_HEADER_BYTES,
+  // Limits how long a slow caller can hold a connection while it sends its headers or body.
   headersTimeout: 10_000,
   requestTimeout: 60_000,
   keepAliveTimeout: 30_000,
 };
 
-/** Receives a body, or why there is none. */
-export type BodyDone = (result: results.Result<string, failures.Failure>) => void;
+/** Receives the request body, or the failure that prevented reading it. */
+export type BodyCallback = (result: results.Result<string, failures.Failure>) => void;
 
 /**
- * Reads a body within the limit.
+ * Reads the body of a request, up to the maximum size.
  *
  * @param request - the request
- * @param done - called once with the text
+ * @param done - called once with the body decoded as UTF-8, or with a failure
  * @example
  * ```ts
- * httpAnswers.readBody(request, (body) => body.ok && handle(body.val));
+ * httpMessages.readBody(request, (body) => body.ok && handle(body.val));
  * ```
  */
-export function readBody(request: http.IncomingMessage, done: BodyDone): void {
+export function readBody(request: http.IncomingMessage, done: BodyCallback): void {
   const chunks: Buffer[] = [];
   let length = 0;
-  let over = false;
-  const finish: BodyDone = (result) => {
-    if (!over) {
-      over = true;
+  let settled = false;
+  const finish: BodyCallback = (result) => {
+    if (!settled) {
+      settled = true;
       done(result);
     }
   };
   request.on('data', (bytes: Buffer) => {
     length += bytes.length;
-    if (length > BODY_LIMIT) {
-      const remedy = `Send at most ${BODY_LIMIT} bytes.`;
+    if (length > MAXIMUM_BODY_BYTES) {
+      const remedy = `Send at most ${MAXIMUM_BODY_BYTES} bytes.`;
       finish(results.Err(failures.create('tooLarge', 'The body is too large.', remedy)));
       return;
     }
@@ -56,18 +56,26 @@
     finish(results.Ok(Buffer.concat(chunks).toString('utf8')));
   });
   request.on('error', () => {
-    finish(results.Err(failures.create('badInput', 'The body broke off.', 'Send the request again.')));
+    finish(
+      results.Err(
+        failures.create(
+          'badInput',
+          'The connection closed before the body was complete.',
+          'Send the request again.',
+        ),
+      ),
+    );
   });
 }
 
 /**
  * Parses a JSON object.
  *
- * @param text - the text
+ * @param text - the JSON text
  * @returns the object, or a `badInput` failure
  * @example
  * ```ts
- * httpAnswers.parseObject('{"model":"ledger"}');
+ * httpMessages.parseObject('{"model":"ledger"}');
  * ```
  */
 export function parseObject(text: string): results.Result<Record<string, unknown>, failures.Failure> {
@@ -77,21 +85,21 @@
       return results.Ok(value as Record<string, unknown>);
     }
   } catch {
-    // Answered below, like any other text that is not an object.
+    // Handled below, like any other text that is not a JSON object.
   }
   return results.Err(failures.create('badInput', 'The body is not a JSON object.', 'Send a JSON object.'));
 }
 
 /**
- * Sends JSON.
+ * Sends a JSON response, unless the headers were already sent or the connection is closed.
  *
- * @param response - where to
- * @param status - HTTP status
- * @param value - what to send
- * @param headers - further headers
+ * @param response - the HTTP response
+ * @param status - HTTP status code
+ * @param value - the value to serialize as the body
+ * @param headers - additional headers
  * @example
  * ```ts
- * httpAnswers.sendJson(response, 200, { ok: true });
+ * httpMessages.sendJson(response, 200, { ok: true });
  * ```
  */
 export function sendJson(
@@ -124,13 +132,13 @@
 };
 
 /**
- * Sends a failure with the HTTP status of its kind.
+ * Sends a failure with the HTTP status code of its kind.
  *
- * @param response - where to
+ * @param response - the HTTP response
  * @param failure - the failure
  * @example
  * ```ts
- * httpAnswers.sendFailure(response, failure);
+ * httpMessages.sendFailure(response, failure);
  * ```
  */
 export function sendFailure(response: http.ServerResponse, failure: failures.Failure): void {
@@ -138,13 +146,13 @@
 }
 
 /**
- * The body of a refusal, in the form that OpenAI clients read.
+ * Creates the body of a refusal in the error format of the OpenAI API.
  *
  * @param refusal - the refusal
- * @returns the body
+ * @returns the response body
  * @example
  * ```ts
- * response.end(JSON.stringify(httpAnswers.refusalBody(refusal)));
+ * response.end(JSON.stringify(httpMessages.refusalBody(refusal)));
  * ```
  */
 export function refusalBody(refusal: streams.Refusal): object {
@@ -160,13 +168,13 @@
 }
 
 /**
- * Sends a refusal with when and where to come back.
+ * Sends a refusal with its retry delay and alternative entries.
  *
- * @param response - where to
+ * @param response - the HTTP response
  * @param refusal - the refusal
  * @example
  * ```ts
- * httpAnswers.sendRefusal(response, refusals.unknownKey);
+ * httpMessages.sendRefusal(response, refusals.unknownKey);
  * ```
  */
 export function sendRefusal(response: http.ServerResponse, refusal: streams.Refusal): void {
@@ -176,13 +184,13 @@
 }
 
 /**
- * The bearer key of a request.
+ * Returns the bearer key of a request.
  *
  * @param request - the request
- * @returns the key; empty where there is none
+ * @returns the key, or an empty string where there is none
  * @example
  * ```ts
- * const key = httpAnswers.bearerKey(request);
+ * const key = httpMessages.bearerKey(request);
  * ```
  */
 export function bearerKey(request: http.IncomingMessage): string {
@@ -191,14 +199,14 @@
 }
 
 /**
- * One header as text.
+ * Returns the value of a request header.
  *
  * @param request - the request
- * @param name - its name in lower case
- * @returns the value; undefined where it is missing
+ * @param name - header name in lower case
+ * @returns the first value, or undefined where the header is missing
  * @example
  * ```ts
- * httpAnswers.header(request, 'idempotency-key');
+ * httpMessages.header(request, 'idempotency-key');
  * ```
  */
 export function header(request: http.IncomingMessage, name: string): string | undefined {
--- a/packages/kumquatfront/src/adapters/noRetries.spec.ts
+++ b/packages/kumquatfront/src/adapters/httpUpstreams.spec.ts
@@ -1,6 +1,5 @@
 /**
- * What the HTTP client underneath does when a connection breaks or never ends: nothing is sent a second time,
- * and nothing fills the process.
+ * HTTP clients for upstreams: a request is never sent twice, and the memory used by an event is bounded.
  */
 import * as assert from 'node:assert/strict';
 import * as net from 'node:net';
@@ -17,7 +16,7 @@
   idempotencyKey: 'k1',
 };
 
-/** A server that counts requests and breaks each connection when `breaks` says so. */
+/** Starts a TCP server that counts requests and passes each to a handler. */
 async function serve(
   onRequest: (socket: net.Socket, count: number) => void,
 ): Promise<{ target: streams.UpstreamTarget; count: () => number; close: () => void }> {
@@ -40,7 +39,7 @@
   };
 }
 
-function call(services: streams.ServicePort, target: streams.UpstreamTarget): Promise<string> {
+function callService(services: streams.ServicePort, target: streams.UpstreamTarget): Promise<string> {
   return new Promise((resolve) => {
     services.call(target, CALL, 2_000, {
       answered: () => {
@@ -53,17 +52,17 @@
 
 const ANSWER = 'HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: 2\r\n\r\n{}';
 
-// The service takes the call and its connection breaks before the answer. The call may have run; the client
-// underneath must report the break and not repair it by sending the call again.
+// The connection breaks after the call was sent. The call may have run, so the HTTP client must report the failure
+// and must not retry.
 void test.test('a call whose connection breaks is sent once and reported as broken', async () => {
   const server = await serve((socket) => socket.destroy());
-  const outcome = await call(httpUpstreams.createServices(), server.target);
+  const outcome = await callService(httpUpstreams.createServices(), server.target);
   assert.equal(outcome, 'broken');
   assert.equal(server.count(), 1);
   server.close();
 });
 
-// The same on a kept connection, where clients like to repeat: the first call is answered, the second breaks.
+// HTTP clients often retry on a reused connection: here the second call on the connection breaks.
 void test.test('a call that breaks on a reused connection is sent once', async () => {
   const server = await serve((socket, count) => {
     if (count === 1) {
@@ -73,21 +72,21 @@
     }
   });
   const services = httpUpstreams.createServices();
-  assert.equal(await call(services, server.target), 'answered');
-  assert.equal(await call(services, server.target), 'broken');
+  assert.equal(await callService(services, server.target), 'answered');
+  assert.equal(await callService(services, server.target), 'broken');
   assert.equal(server.count(), 2);
   server.close();
 });
 
-void test.test('only a refused connection counts as never sent', async () => {
+void test.test('a refused connection is reported as never sent', async () => {
   const server = await serve(() => undefined);
   server.close();
   await new Promise((resolve) => setImmediate(resolve));
-  assert.equal(await call(httpUpstreams.createServices(), server.target), 'neverSent');
+  assert.equal(await callService(httpUpstreams.createServices(), server.target), 'neverSent');
 });
 
-// An engine sends one event without an end. The connection is given up instead of filling the entry's memory.
-void test.test('an event without an end breaks the connection', async () => {
+// An event that never ends must not exhaust the memory of the entry.
+void test.test('an event without an end fails the connection', async () => {
   const server = await serve((socket, count) => {
     if (count === 1) {
       socket.write('HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\ndata: ');
--- a/packages/kumquatfront/src/adapters/httpUpstreams.ts
+++ b/packages/kumquatfront/src/adapters/httpUpstreams.ts
@@ -1,6 +1,6 @@
 /**
- * Engines and plain services over HTTP by `undici`. Nothing here repeats a request: what may be tried again
- * is decided by the relays alone.
+ * HTTP clients for engines, plain services and orders, based on `undici`. Requests are never retried here; the
+ * relays decide about retries.
  */
 import * as stringDecoder from 'node:string_decoder';
 
@@ -15,12 +15,12 @@
 import * as connectionCheck from './connectionCheck.js';
 
 const CONNECT_TIMEOUT = 1_000;
-const ANSWER_LIMIT = 4 * 1024 * 1024;
-const EVENT_LIMIT = 1024 * 1024;
-const DONE = '[DONE]';
+const MAXIMUM_RESPONSE_BYTES = 4 * 1024 * 1024;
+const MAXIMUM_EVENT_BYTES = 1024 * 1024;
+const END_OF_STREAM = '[DONE]';
 
-/** Codes of errors that occur before a connection exists, so that no byte can have been sent on it. */
-const NEVER_SENT_CODES: ReadonlySet<string> = new Set([
+/** Error codes of failed connection attempts, for which no byte of the request was sent. */
+const CONNECT_ERROR_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ENETUNREACH',
@@ -29,7 +29,7 @@
 ]);
 
 function createAgent(): undici.Agent {
-  // Timeouts of headers and body are the relays' matter; a pipelined call could be lost with its neighbour.
+  // The relays enforce header and body timeouts. Pipelining is off: a broken connection would fail several calls.
   return new undici.Agent({
     connect: { timeout: CONNECT_TIMEOUT },
     headersTimeout: 0,
@@ -38,40 +38,40 @@
   });
 }
 
-function codeOf(error: unknown): string {
+function errorCode(error: unknown): string {
   return error instanceof Error && 'code' in error ? String(error.code) : '';
 }
 
 /**
- * Tells whether an error proves that no byte of a request was sent.
+ * Checks whether an error proves that no byte of a request was sent.
  *
- * @param error - what the client threw
- * @returns true only for errors of opening a connection
+ * @param error - the error thrown by the HTTP client
+ * @returns true only for failed connection attempts
  * @example
  * ```ts
  * httpUpstreams.wasNeverSent(error);
  * ```
  */
 export function wasNeverSent(error: unknown): boolean {
-  return NEVER_SENT_CODES.has(codeOf(error));
+  return CONNECT_ERROR_CODES.has(errorCode(error));
 }
 
-function reasonFor(status: number): streams.ConnectionFailure {
+function failureForStatus(status: number): streams.ConnectionFailure {
   if (status === 404 || status === 410) {
     return 'unknownGeneration';
   }
   return status >= 400 && status < 500 && status !== 408 && status !== 429 ? 'invalid' : 'refused';
 }
 
-/** One connection to an engine that streams events. */
-class EventConnection implements streams.GenerationConnection {
+/** A connection that reads server-sent events from an engine. */
+class EventStreamConnection implements streams.GenerationConnection {
   private readonly listener: streams.GenerationListener;
-  private readonly aborter = new AbortController();
+  private readonly abortController = new AbortController();
   private body: undici.Dispatcher.ResponseData['body'] | undefined;
-  private over = false;
+  private finished = false;
   private paused = false;
-  /** Bytes received since the last whole event. */
-  private unfinished = 0;
+  /** Bytes received since the last complete event. */
+  private incompleteEventBytes = 0;
 
   constructor(listener: streams.GenerationListener) {
     this.listener = listener;
@@ -84,20 +84,20 @@
     headers: Record<string, string>,
     body?: string,
   ): void {
-    const { signal } = this.aborter;
+    const { signal } = this.abortController;
     undici.request(url, { dispatcher: agent, method, headers, body, signal }).then(
       (response) => {
         this.onResponse(response);
       },
       (error: unknown) => {
-        this.fail(wasNeverSent(error) ? 'neverSent' : 'broken', codeOf(error));
+        this.fail(wasNeverSent(error) ? 'neverSent' : 'broken', errorCode(error));
       },
     );
   }
 
   private fail(reason: streams.ConnectionFailure, detail: string): void {
-    if (!this.over) {
-      this.over = true;
+    if (!this.finished) {
+      this.finished = true;
       this.listener.failed(reason, detail);
     }
   }
@@ -105,15 +105,15 @@
   private onResponse(response: undici.Dispatcher.ResponseData): void {
     this.body = response.body;
     response.body.on('error', () => {
-      this.fail('broken', 'error');
+      this.fail('broken', 'response body error');
     });
-    if (this.over) {
+    if (this.finished) {
       response.body.destroy();
       return;
     }
     if (response.statusCode !== 200) {
       response.body.resume();
-      this.fail(reasonFor(response.statusCode), `status ${response.statusCode}`);
+      this.fail(failureForStatus(response.statusCode), `status ${response.statusCode}`);
       return;
     }
     this.listener.opened();
@@ -128,19 +128,19 @@
       },
     });
     body.on('data', (bytes: Buffer) => {
-      this.unfinished += bytes.length;
+      this.incompleteEventBytes += bytes.length;
       parser.feed(decoder.write(bytes));
-      // An engine that never ends an event would fill this process; no event comes near the limit.
-      if (this.unfinished > EVENT_LIMIT) {
+      // Bounds the memory used by an event that never ends.
+      if (this.incompleteEventBytes > MAXIMUM_EVENT_BYTES) {
         this.fail('broken', 'event too large');
         body.destroy();
       }
     });
     body.on('end', () => {
-      this.fail('broken', 'end');
+      this.fail('broken', 'response ended before [DONE]');
     });
     body.on('close', () => {
-      this.fail('broken', 'close');
+      this.fail('broken', 'connection closed before [DONE]');
     });
     if (this.paused) {
       body.pause();
@@ -148,16 +148,16 @@
   }
 
   private onEvent(event: eventSource.EventSourceMessage): void {
-    this.unfinished = 0;
-    if (this.over) {
+    this.incompleteEventBytes = 0;
+    if (this.finished) {
       return;
     }
     const id = event.id ?? '';
     const colon = id.lastIndexOf(':');
     const generation = id.slice(0, colon);
     const index = Number(id.slice(colon + 1));
-    if (event.data === DONE) {
-      this.over = true;
+    if (event.data === END_OF_STREAM) {
+      this.finished = true;
       this.listener.ended(generation, index);
       return;
     }
@@ -175,38 +175,38 @@
   }
 
   close(): void {
-    this.over = true;
-    this.aborter.abort();
+    this.finished = true;
+    this.abortController.abort();
     this.body?.destroy();
   }
 }
 
 /**
- * Creates the port to engines. An engine streams events whose id is `generation:index`, and ends with the
- * data `[DONE]` whose id carries the count. It takes `X-Generation-Id` and `X-Priority` with a request,
- * resumes at `GET /v1/generations/{id}?from=index`, and cancels at `DELETE /v1/generations/{id}`.
+ * Creates the HTTP port to engines. An engine streams events with the id `generation:index` and ends with the
+ * data `[DONE]`, whose id carries the token count. A request has the headers `X-Generation-Id` and `X-Priority`;
+ * `GET /v1/generations/{id}?from=index` resumes a generation and `DELETE /v1/generations/{id}` cancels it.
  *
  * @returns the port
  * @example
  * ```ts
- * const ports = { engines: httpUpstreams.createEngines() };
+ * const ports = { engines: httpUpstreams.createGenerationPort() };
  * ```
  */
 export function createEngines(): streams.GenerationPort {
   const agent = createAgent();
   return {
-    start: (target, order, listener) => {
-      const connection = new EventConnection(listener);
+    start: (target, request, listener) => {
+      const connection = new EventStreamConnection(listener);
       const headers = {
         'content-type': 'application/json',
-        'x-generation-id': order.generation,
-        'x-priority': String(order.priority),
+        'x-generation-id': request.generation,
+        'x-priority': String(request.priority),
       };
-      connection.open(agent, `${target.address}${order.path}`, 'POST', headers, order.body);
+      connection.open(agent, `${target.address}${request.path}`, 'POST', headers, request.body);
       return connection;
     },
     resume: (target, generation, fromIndex, listener) => {
-      const connection = new EventConnection(listener);
+      const connection = new EventStreamConnection(listener);
       const url = `${target.address}/v1/generations/${encodeURIComponent(generation)}?from=${fromIndex}`;
       connection.open(agent, url, 'GET', {});
       return connection;
@@ -217,7 +217,7 @@
         (response) => {
           response.body.resume();
         },
-        // A cancellation that is lost costs the engine some work and the caller nothing.
+        // Best effort: a lost cancellation wastes engine work but does not affect the caller.
         () => undefined,
       );
     },
@@ -225,13 +225,13 @@
 }
 
 /**
- * Creates the check of upstreams' addresses.
+ * Creates the check whether an upstream accepts connections at its address.
  *
- * @param scheduler - for its timeout
+ * @param scheduler - runs the timeout of the check
  * @returns the check
  * @example
  * ```ts
- * const ports = { checkUpstream: httpUpstreams.createCheck(systemTime.scheduler) };
+ * const ports = { checkUpstream: httpUpstreams.createConnectionCheck(systemTime.scheduler) };
  * ```
  */
 export function createCheck(scheduler: ports.Scheduler): streams.CheckUpstream {
@@ -246,15 +246,15 @@
   for await (const chunk of body) {
     const bytes = chunk as Buffer;
     length += bytes.length;
-    if (length > ANSWER_LIMIT) {
-      throw new Error('answer too large');
+    if (length > MAXIMUM_RESPONSE_BYTES) {
+      throw new Error('response body too large');
     }
     chunks.push(bytes);
   }
   return Buffer.concat(chunks).toString('utf8');
 }
 
-async function performCall(
+async function sendServiceCall(
   agent: undici.Agent,
   target: streams.UpstreamTarget,
   call: streams.ServiceCall,
@@ -270,7 +270,7 @@
     headers,
     body: call.method === 'GET' || call.method === 'HEAD' ? undefined : call.body,
     signal,
-    // Told so, the client never sends the call a second time when its connection breaks.
+    // Prevents the HTTP client from retrying the call when its connection breaks.
     idempotent: false,
   });
   const contentType = response.headers['content-type'];
@@ -282,12 +282,12 @@
 }
 
 /**
- * Creates the port to plain services.
+ * Creates the HTTP port to plain services.
  *
  * @returns the port
  * @example
  * ```ts
- * const ports = { services: httpUpstreams.createServices() };
+ * const ports = { services: httpUpstreams.createServicePort() };
  * ```
  */
 export function createServices(): streams.ServicePort {
@@ -295,13 +295,13 @@
   return {
     call: (target, call, timeout, listener) => {
       const signal = AbortSignal.timeout(timeout);
-      performCall(agent, target, call, signal).then(
+      sendServiceCall(agent, target, call, signal).then(
         (answer) => {
           listener.answered(answer);
         },
         (error: unknown) => {
-          const late = signal.aborted ? 'timeout' : 'broken';
-          listener.failed(wasNeverSent(error) ? 'neverSent' : late);
+          const failure = signal.aborted ? 'timeout' : 'broken';
+          listener.failed(wasNeverSent(error) ? 'neverSent' : failure);
         },
       );
     },
@@ -309,40 +309,44 @@
 }
 
 /**
- * Creates the port for orders: `POST /v1/orders` with the fencing number, then `GET /v1/orders` to read back
- * what the upstream has taken, since some take any number.
+ * Creates the HTTP port for orders. It sends `POST /v1/orders` with the fencing number, then reads the applied
+ * order with `GET /v1/orders`, since some upstreams accept any fencing number.
  *
  * @returns the port
  * @example
  * ```ts
- * const ports = { orders: httpUpstreams.createOrders() };
+ * const ports = { orders: httpUpstreams.createOrderPort() };
  * ```
  */
 export function createOrders(): orders.OrderPort {
   const agent = createAgent();
-  const perform = async (address: string, body: string, timeout: number): Promise<orders.OrderReceipt> => {
+  const sendAndReadBack = async (
+    address: string,
+    body: string,
+    timeout: number,
+  ): Promise<orders.OrderReceipt> => {
     const signal = AbortSignal.timeout(timeout);
     const headers = { 'content-type': 'application/json' };
-    const given = await undici.request(`${address}/v1/orders`, {
+    const postResponse = await undici.request(`${address}/v1/orders`, {
       dispatcher: agent,
       method: 'POST',
       headers,
       body,
       signal,
     });
-    await given.body.dump();
-    const readBack = await undici.request(`${address}/v1/orders`, { dispatcher: agent, signal });
-    return (await readBack.body.json()) as orders.OrderReceipt;
+    await postResponse.body.dump();
+    const receiptResponse = await undici.request(`${address}/v1/orders`, { dispatcher: agent, signal });
+    return (await receiptResponse.body.json()) as orders.OrderReceipt;
   };
   return {
     give: (order, address, timeout, done) => {
-      const remedy = 'It is tried again.';
+      const remedy = 'The order is retried automatically.';
       const body = JSON.stringify({
         ...order.order,
         orderId: order.orderId,
         fencingNumber: order.fencingNumber,
       });
-      perform(address, body, timeout).then(
+      sendAndReadBack(address, body, timeout).then(
         (receipt) => {
           done(results.Ok(receipt));
         },
--- a/packages/kumquatfront/src/adapters/peerConnecting.spec.ts
+++ b/packages/kumquatfront/src/adapters/jsonRpcTransport.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Connecting to a process that does not answer at all.
+ * Connect timeout of the peer transport.
  */
 import * as assert from 'node:assert/strict';
 import * as childProcess from 'node:child_process';
@@ -11,10 +11,10 @@
 import * as virtualTime from '../kernel/virtualTime.js';
 import * as jsonRpcTransport from './jsonRpcTransport.js';
 
-const nothing = (): void => undefined;
-const log = { debug: nothing, info: nothing, warn: nothing, error: nothing };
+const noop = (): void => undefined;
+const log = { debug: noop, info: noop, warn: noop, error: noop };
 
-/** Listens with room for two connections that nobody accepts yet, and tells its port. */
+/** Script of a process that listens with a backlog of one connection and prints its port. */
 const LISTENER = `const server = require('node:net').createServer();
 server.listen({ port: 0, host: '127.0.0.1', backlog: 1 }, () => console.log(server.address().port));`;
 
@@ -28,9 +28,9 @@
   });
 }
 
-async function connected(port: number): Promise<net.Socket> {
+async function connectTo(port: number): Promise<net.Socket> {
   const socket = net.connect(port, '127.0.0.1');
-  socket.on('error', nothing);
+  socket.on('error', noop);
   return new Promise((resolve) => {
     socket.once('connect', () => {
       resolve(socket);
@@ -38,15 +38,15 @@
   });
 }
 
-// All power is lost, and a process starts before the one that it asks: its opening packet vanishes, and the kernel
-// sends the next one a second later. The question has to fail long before, so that it can be asked again.
+// The SYN to a process that is not up yet is lost, and the kernel retransmits it only after a second. The request
+// must fail before that, so that it can be retried on a new connection.
 void test.test('a connection that does not open fails within a quarter of a second', async () => {
   const child = childProcess.spawn(process.execPath, ['-e', LISTENER], {
     stdio: ['ignore', 'pipe', 'ignore'],
   });
   const port = Number(await firstLine(child));
   child.kill('SIGSTOP');
-  const fillers = [await connected(port), await connected(port)];
+  const fillers = [await connectTo(port), await connectTo(port)];
   const time = new virtualTime.VirtualTime();
   const transport = jsonRpcTransport.create({ clusterKey: 'key', scheduler: time, log });
   try {
@@ -55,7 +55,7 @@
       failed = result.err;
     });
     time.advance(260);
-    // The closing of the socket and the answer are heard of in the next turns of the loop.
+    // The close event and the rejection are delivered in the next turns of the event loop.
     await timersPromises.setImmediate();
     await timersPromises.setImmediate();
     assert.equal(failed, true);
--- a/packages/kumquatfront/src/adapters/jsonRpcTransport.ts
+++ b/packages/kumquatfront/src/adapters/jsonRpcTransport.ts
@@ -1,6 +1,6 @@
 /**
- * Requests and messages between the system's processes: JSON-RPC 2.0 over TCP, one JSON text a line, after
- * a mutual proof of the cluster key.
+ * Peer transport: JSON-RPC 2.0 over TCP with one JSON text per line, after mutual authentication with the cluster
+ * key.
  */
 import * as net from 'node:net';
 
@@ -12,47 +12,46 @@
 import * as lineSocket from './lineSocket.js';
 import * as peerAuthentication from './peerAuthentication.js';
 
-/** What the transport is made from. */
+/** Options of the transport. */
 export interface JsonRpcTransportOptions {
   readonly clusterKey: string;
   readonly scheduler: ports.Scheduler;
   readonly log: ports.Log;
 }
 
-/** The transport, with its listening side. */
+/** A peer transport that also accepts connections. */
 export interface JsonRpcTransport extends ports.PeerTransport {
-  /** Listens on `ip:port`; calls back with the port, which is chosen where 0 is given. */
+  /** Listens on `ip:port` and calls back with the bound port; port 0 selects a free one. */
   listen(address: string, done: (port: number) => void): void;
-  /** Bytes sent and received since the start, for measurements. */
-  bytes(): { readonly sent: number; readonly received: number };
+  /** Total bytes sent and received since the transport was created. */
+  byteCounts(): { readonly sent: number; readonly received: number };
   close(): void;
 }
 
 const FAILURE_CODE = -32_000;
 
 /**
- * A connection that is not open by then is given up, and the next message opens another. A VM without power answers
- * nothing, and the kernel repeats a lost opening packet only after a second: after a loss of all power every process
- * would wait that long for those that started a little later than itself. Round trips between data centres take a few
- * milliseconds, between regions a hundred.
+ * Connecting is aborted after this time, and the next message opens a new connection. Shorter than the kernel's SYN
+ * retransmission delay of a second, so that processes that restart together do not wait that long for each other.
  */
 const CONNECT_TIMEOUT = 250;
 
-/** From the opening of a connection to its first message: a busy process needs its time for both proofs. */
-const GREETING_TIMEOUT = 1_000;
+/** Maximum time from an open connection to the end of its authentication, on the connecting side. */
+const HANDSHAKE_TIMEOUT = 1_000;
+/** Maximum time for a peer to authenticate, on the accepting side. */
 const AUTHENTICATION_TIMEOUT = 2_000;
 
-/** How often a connection in use is checked for life. */
+/** Interval between liveness probes on a connection in use. */
 const PROBE_INTERVAL = 400;
 
 /**
- * A connection may go silent for good without a reset, while new ones work; consensus and notices sent on it
- * would vanish unseen. A probe that is not answered this long ends it, and the next message opens another.
+ * A connection on which no data arrives within this time after a probe is closed, and the next message opens a new
+ * one. Otherwise messages on a connection that stopped working without a reset would be lost unnoticed.
  */
 const PROBE_TIMEOUT = 1_000;
 const PROBE_METHOD = 'transport.probe';
 
-interface Greeting {
+interface HandshakeMessage {
   readonly nonce?: string;
   readonly proof?: string;
 }
@@ -66,13 +65,13 @@
     return error.data;
   }
   const reason = error instanceof Error ? error.message : String(error);
-  const remedy = 'Check that the process runs and that both have the same cluster key.';
-  return failures.create('unreachable', `${address} could not be asked: ${reason}.`, remedy);
+  const remedy = 'Check that the process is running and that both processes use the same cluster key.';
+  return failures.create('unreachable', `The request to ${address} failed: ${reason}.`, remedy);
 }
 
-function parseGreeting(line: string): Greeting {
+function parseHandshakeMessage(line: string): HandshakeMessage {
   try {
-    return JSON.parse(line) as Greeting;
+    return JSON.parse(line) as HandshakeMessage;
   } catch {
     return {};
   }
@@ -83,7 +82,7 @@
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
 }
 
-/** A connection to one peer, opened when it is first needed. */
+/** An outgoing connection to one peer; messages are queued until both sides are authenticated. */
 class PeerConnection {
   readonly client: jsonRpc.JSONRPCClient;
   readonly socket: net.Socket;
@@ -91,13 +90,13 @@
   private readonly clusterKey: string;
   private readonly clientNonce = peerAuthentication.createNonce();
   private serverNonce = '';
-  private ready = false;
-  private waiting: string[] = [];
+  private authenticated = false;
+  private queuedMessages: string[] = [];
   private readonly scheduler: ports.Scheduler;
   private sentSinceProbe = false;
   private bytesAtProbe = 0;
   private cancelProbe: ports.Cancel = () => undefined;
-  private cancelOpening: ports.Cancel = () => undefined;
+  private cancelOpenTimeout: ports.Cancel = () => undefined;
 
   constructor(address: string, clusterKey: string, scheduler: ports.Scheduler, onClose: () => void) {
     this.clusterKey = clusterKey;
@@ -109,29 +108,29 @@
     this.lines = new lineSocket.LineSocket(this.socket, (line) => {
       this.onLine(line);
     });
-    this.cancelOpening = scheduler.after(CONNECT_TIMEOUT, () => {
+    this.cancelOpenTimeout = scheduler.after(CONNECT_TIMEOUT, () => {
       this.socket.destroy();
     });
     this.socket.on('connect', () => {
-      this.cancelOpening();
-      this.cancelOpening = scheduler.after(GREETING_TIMEOUT, () => {
+      this.cancelOpenTimeout();
+      this.cancelOpenTimeout = scheduler.after(HANDSHAKE_TIMEOUT, () => {
         this.socket.destroy();
       });
     });
     this.socket.on('error', () => undefined);
-    this.probeLater();
+    this.scheduleProbe();
     this.socket.on('close', () => {
-      this.cancelOpening();
+      this.cancelOpenTimeout();
       this.cancelProbe();
       this.client.rejectAllPendingRequests('the connection was closed');
       onClose();
     });
   }
 
-  private probeLater(): void {
+  private scheduleProbe(): void {
     this.cancelProbe = this.scheduler.after(PROBE_INTERVAL, () => {
-      if (!this.ready || !this.sentSinceProbe) {
-        this.probeLater();
+      if (!this.authenticated || !this.sentSinceProbe) {
+        this.scheduleProbe();
         return;
       }
       this.client.request(PROBE_METHOD, []).then(
@@ -145,44 +144,54 @@
           this.socket.destroy();
           return;
         }
-        this.probeLater();
+        this.scheduleProbe();
       });
     });
   }
 
   private send(text: string): void {
     this.sentSinceProbe = true;
-    if (!this.ready) {
-      this.waiting.push(text);
+    if (!this.authenticated) {
+      this.queuedMessages.push(text);
       return;
     }
     if (!this.lines.send(text)) {
-      throw new Error('the peer takes nothing in');
+      throw new Error('the connection is closed or its send buffer is full');
     }
   }
 
   private onLine(line: string): void {
-    if (this.ready) {
+    if (this.authenticated) {
       this.client.receive(JSON.parse(line) as jsonRpc.JSONRPCResponse);
       return;
     }
-    const greeting = parseGreeting(line);
+    const message = parseHandshakeMessage(line);
     if (this.serverNonce === '') {
-      this.serverNonce = greeting.nonce ?? '';
-      const proof = peerAuthentication.prove(this.clusterKey, 'client', this.clientNonce, this.serverNonce);
+      this.serverNonce = message.nonce ?? '';
+      const proof = peerAuthentication.createProof(
+        this.clusterKey,
+        'client',
+        this.clientNonce,
+        this.serverNonce,
+      );
       this.lines.send(JSON.stringify({ nonce: this.clientNonce, proof }));
       return;
     }
-    const expected = peerAuthentication.prove(this.clusterKey, 'server', this.clientNonce, this.serverNonce);
-    if (!peerAuthentication.isSame(greeting.proof ?? '', expected)) {
+    const expected = peerAuthentication.createProof(
+      this.clusterKey,
+      'server',
+      this.clientNonce,
+      this.serverNonce,
+    );
+    if (!peerAuthentication.timingSafeEqual(message.proof ?? '', expected)) {
       this.socket.destroy();
       return;
     }
-    this.ready = true;
-    this.cancelOpening();
-    const { waiting } = this;
-    this.waiting = [];
-    for (const text of waiting) {
+    this.authenticated = true;
+    this.cancelOpenTimeout();
+    const { queuedMessages } = this;
+    this.queuedMessages = [];
+    for (const text of queuedMessages) {
       this.lines.send(text);
     }
   }
@@ -190,13 +199,13 @@
 
 class Transport implements JsonRpcTransport {
   private readonly options: JsonRpcTransportOptions;
-  // Failures are answers here; the library would write each of them to the console as well.
+  // Failures are regular responses; by default the library also logs each of them to the console.
   private readonly rpcServer = new jsonRpc.JSONRPCServer({ errorListener: () => undefined });
   private readonly connections = new Map<string, PeerConnection>();
-  private readonly inbound = new Set<net.Socket>();
+  private readonly inboundSockets = new Set<net.Socket>();
   private server: net.Server | undefined;
-  private closedSent = 0;
-  private closedReceived = 0;
+  private closedBytesSent = 0;
+  private closedBytesReceived = 0;
 
   constructor(options: JsonRpcTransportOptions) {
     this.options = options;
@@ -234,42 +243,44 @@
 
   private accept(socket: net.Socket): void {
     const serverNonce = peerAuthentication.createNonce();
-    let trusted = false;
-    this.inbound.add(socket);
+    let authenticated = false;
+    this.inboundSockets.add(socket);
     const lines = new lineSocket.LineSocket(socket, (line) => {
-      if (trusted) {
+      if (authenticated) {
         this.onRequest(line, lines);
       } else if (this.authenticate(line, serverNonce, lines)) {
-        trusted = true;
+        authenticated = true;
       } else {
-        // A stranger learns nothing: its first line is not the proof, and the connection ends.
+        // Closes the connection without a response where the first line is not a valid proof.
         this.options.log.warn('strangerRefused', { address: socket.remoteAddress });
         socket.destroy();
       }
     });
     const cancel = this.options.scheduler.after(AUTHENTICATION_TIMEOUT, () => {
-      if (!trusted) {
+      if (!authenticated) {
         socket.destroy();
       }
     });
     socket.on('error', () => undefined);
     socket.on('close', () => {
       cancel();
-      this.inbound.delete(socket);
-      this.closedSent += socket.bytesWritten;
-      this.closedReceived += socket.bytesRead;
+      this.inboundSockets.delete(socket);
+      this.closedBytesSent += socket.bytesWritten;
+      this.closedBytesReceived += socket.bytesRead;
     });
     lines.send(JSON.stringify({ nonce: serverNonce }));
   }
 
   private authenticate(line: string, serverNonce: string, lines: lineSocket.LineSocket): boolean {
     const { clusterKey } = this.options;
-    const { nonce = '', proof = '' } = parseGreeting(line);
-    const expected = peerAuthentication.prove(clusterKey, 'client', nonce, serverNonce);
-    if (!peerAuthentication.isSame(proof, expected)) {
+    const { nonce = '', proof = '' } = parseHandshakeMessage(line);
+    const expected = peerAuthentication.createProof(clusterKey, 'client', nonce, serverNonce);
+    if (!peerAuthentication.timingSafeEqual(proof, expected)) {
       return false;
     }
-    lines.send(JSON.stringify({ proof: peerAuthentication.prove(clusterKey, 'server', nonce, serverNonce) }));
+    lines.send(
+      JSON.stringify({ proof: peerAuthentication.createProof(clusterKey, 'server', nonce, serverNonce) }),
+    );
     return true;
   }
 
@@ -282,14 +293,14 @@
   }
 
   private connectionTo(address: string): PeerConnection {
-    const known = this.connections.get(address);
-    if (known !== undefined) {
-      return known;
+    const existing = this.connections.get(address);
+    if (existing !== undefined) {
+      return existing;
     }
     const created = new PeerConnection(address, this.options.clusterKey, this.options.scheduler, () => {
       this.connections.delete(address);
-      this.closedSent += created.socket.bytesWritten;
-      this.closedReceived += created.socket.bytesRead;
+      this.closedBytesSent += created.socket.bytesWritten;
+      this.closedBytesReceived += created.socket.bytesRead;
     });
     this.connections.set(address, created);
     return created;
@@ -302,16 +313,16 @@
     timeout: ports.Milliseconds,
     done: ports.Reply,
   ): void {
-    let open = true;
+    let pending = true;
     const finish: ports.Reply = (result) => {
-      if (open) {
-        open = false;
+      if (pending) {
+        pending = false;
         cancel();
         done(result);
       }
     };
     const cancel = this.options.scheduler.after(timeout, () => {
-      const remedy = 'Ask again or ask another process.';
+      const remedy = 'Retry the request or send it to another process.';
       finish(results.Err(failures.create('timeout', `${address} did not answer in time.`, remedy)));
     });
     this.connectionTo(address)
@@ -334,20 +345,20 @@
     }
   }
 
-  bytes(): { readonly sent: number; readonly received: number } {
+  byteCounts(): { readonly sent: number; readonly received: number } {
     const sockets = [
-      ...this.inbound,
+      ...this.inboundSockets,
       ...[...this.connections.values()].map((connection) => connection.socket),
     ];
     return {
-      sent: sockets.reduce((sum, socket) => sum + socket.bytesWritten, this.closedSent),
-      received: sockets.reduce((sum, socket) => sum + socket.bytesRead, this.closedReceived),
+      sent: sockets.reduce((sum, socket) => sum + socket.bytesWritten, this.closedBytesSent),
+      received: sockets.reduce((sum, socket) => sum + socket.bytesRead, this.closedBytesReceived),
     };
   }
 
   close(): void {
     this.server?.close();
-    for (const socket of this.inbound) {
+    for (const socket of this.inboundSockets) {
       socket.destroy();
     }
     for (const connection of this.connections.values()) {
@@ -359,8 +370,8 @@
 /**
  * Creates a transport.
  *
- * @param options - cluster key, timers and log
- * @returns the transport; call `listen` to be reachable
+ * @param options - cluster key, scheduler and log
+ * @returns the transport; call `listen` to accept connections
  * @example
  * ```ts
  * const transport = jsonRpcTransport.create({ clusterKey, scheduler, log });
--- a/packages/kumquatfront/src/adapters/keyValueLog.ts
+++ b/packages/kumquatfront/src/adapters/keyValueLog.ts
@@ -1,5 +1,5 @@
 /**
- * Logs by `loglevel`: one line of key=value pairs for each event.
+ * Structured logging with `loglevel`: one line of key=value pairs per event.
  */
 import * as loglevelModule from 'loglevel';
 
@@ -7,7 +7,7 @@
 import * as boundedOutput from './boundedOutput.js';
 import * as systemTime from './systemTime.js';
 
-/** Levels from the most to the least talkative. */
+/** Log levels from the most to the least verbose. */
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error' | 'silent';
 
 const PLAIN_VALUE = /^[A-Za-z0-9._:/@+-]+$/;
@@ -18,12 +18,12 @@
 }
 
 /**
- * Formats one event.
+ * Formats a log event.
  *
- * @param level - its level
- * @param event - its name
- * @param fields - its facts; undefined ones are left out
- * @returns the line, without a line end
+ * @param level - level of the event
+ * @param event - name of the event
+ * @param fields - fields of the event; undefined values are omitted
+ * @returns the line without a line terminator
  * @example
  * ```ts
  * keyValueLog.format('info', 'drainStarted', { inFlight: 3 }); // level=info event=drainStarted inFlight=3
@@ -38,16 +38,16 @@
 
 let standardOutput: boundedOutput.BoundedOutput | undefined;
 
-function writeLine(line: string, weight: boundedOutput.LineWeight): void {
+function writeLine(line: string, priority: boundedOutput.LinePriority): void {
   standardOutput ??= boundedOutput.toDescriptor(1, systemTime.clock, systemTime.scheduler);
-  standardOutput.write(line, weight);
+  standardOutput.write(line, priority);
 }
 
 /**
- * Creates a log that writes to standard output, bounded and without ever blocking.
+ * Creates a log that writes to standard output without blocking and within the default bounds.
  *
- * @param name - the process, named in every line
- * @param level - the least level that is written
+ * @param name - name of the process, included in every line
+ * @param level - the minimum level that is written
  * @returns the log
  * @example
  * ```ts
@@ -59,8 +59,8 @@
   const logger = loglevelModule.default.getLogger(name);
   logger.methodFactory = (methodName) => (event: string, fields: ports.LogFields) => {
     const line = format(methodName, event, fields);
-    const weight = methodName === 'warn' || methodName === 'error' ? 'important' : 'ordinary';
-    writeLine(`time=${new Date().toISOString()} process=${name} ${line}`, weight);
+    const priority = methodName === 'warn' || methodName === 'error' ? 'important' : 'ordinary';
+    writeLine(`time=${new Date().toISOString()} process=${name} ${line}`, priority);
   };
   logger.setLevel(level, false);
   return {
--- a/packages/kumquatfront/src/adapters/lineSocket.ts
+++ b/packages/kumquatfront/src/adapters/lineSocket.ts
@@ -1,20 +1,20 @@
 /**
- * JSON lines over a TCP connection, with a bound on a line and on what waits to be sent.
+ * Newline-delimited messages over a TCP connection, with limits on the line length and on unsent data.
  */
 import type * as net from 'node:net';
 import * as stringDecoder from 'node:string_decoder';
 
-const MAXIMUM_LINE = 8 * 1024 * 1024;
-const MAXIMUM_UNSENT = 8 * 1024 * 1024;
+const MAXIMUM_LINE_LENGTH = 8 * 1024 * 1024;
+const MAXIMUM_UNSENT_BYTES = 8 * 1024 * 1024;
 
-/** Splits what a socket receives into lines and sends lines. */
+/** Splits received data into lines and sends lines. */
 export class LineSocket {
   private readonly socket: net.Socket;
-  private rest = '';
+  private partialLine = '';
 
   /**
    * @param socket - the connection
-   * @param onLine - called with each line
+   * @param onLine - called with each received line, without its line terminator
    */
   constructor(socket: net.Socket, onLine: (line: string) => void) {
     this.socket = socket;
@@ -26,9 +26,9 @@
   }
 
   private receive(text: string, onLine: (line: string) => void): void {
-    const lines = (this.rest + text).split('\n');
-    this.rest = lines.pop() ?? '';
-    if (this.rest.length > MAXIMUM_LINE) {
+    const lines = (this.partialLine + text).split('\n');
+    this.partialLine = lines.pop() ?? '';
+    if (this.partialLine.length > MAXIMUM_LINE_LENGTH) {
       this.socket.destroy();
       return;
     }
@@ -37,9 +37,15 @@
     }
   }
 
-  /** Sends a line; false where the peer takes nothing in, so that a frozen one cannot fill this process. */
+  /**
+   * Sends a line.
+   *
+   * @param line - the line without its line terminator
+   * @returns false where the connection is closed or too much data is unsent, which bounds the memory used for a
+   * peer that does not read
+   */
   send(line: string): boolean {
-    if (this.socket.destroyed || this.socket.writableLength > MAXIMUM_UNSENT) {
+    if (this.socket.destroyed || this.socket.writableLength > MAXIMUM_UNSENT_BYTES) {
       return false;
     }
     this.socket.write(`${line}\n`);
--- a/packages/kumquatfront/src/adapters/metricsPage.ts
+++ b/packages/kumquatfront/src/adapters/metricsPage.ts
@@ -1,35 +1,36 @@
 /**
- * Metrics as a page of text, by `prom-client`: counters, gauges and histograms of times, made when they are
- * first used. docs/metrics.md is their catalogue.
+ * Prometheus metrics with `prom-client`: counters, gauges and histograms, registered on first use. They are
+ * documented in docs/metrics.md.
  */
 import * as promClient from 'prom-client';
 
 import type * as ports from '../kernel/ports.js';
 
-/** Bounds of the histograms: from one local call to the longest generation. */
+/** Bucket bounds of the duration histograms, in milliseconds. */
 const BUCKETS_MS = [1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000, 10_000, 20_000, 60_000];
 
 const PREFIX = 'kumquatfront_';
 
-/** Metrics with their page. */
+/** Metrics that can be rendered for scraping. */
 export interface PagedMetrics extends ports.Metrics {
-  /** The page, and the content type to serve it with. */
+  /** Content type of the rendered metrics. */
   readonly contentType: string;
+  /** Renders all metrics in the text format. */
   readonly render: () => Promise<string>;
 }
 
-function pageName(name: string): string {
+function prometheusName(name: string): string {
   return PREFIX + name.replaceAll('.', '_');
 }
 
 /**
- * Creates metrics that are read from a page.
+ * Creates a registry of Prometheus metrics.
  *
- * @param process - the process, a label on every metric
+ * @param process - name of the process, set as a label on every metric
  * @returns the metrics
  * @example
  * ```ts
- * const metrics = metricsPage.create('entry-1');
+ * const metrics = prometheusMetrics.create('entry-1');
  * metrics.count('refusals', 1, { kind: 'overloaded' });
  * await metrics.render();
  * ```
@@ -42,36 +43,41 @@
   const gauges = new Map<string, promClient.Gauge>();
   const histograms = new Map<string, promClient.Histogram>();
 
-  const known = <Kind>(
-    kinds: Map<string, Kind>,
+  const getOrCreate = <Kind>(
+    metrics: Map<string, Kind>,
     name: string,
     tags: ports.MetricTags,
-    make: (options: {
+    createMetric: (options: {
       name: string;
       help: string;
       labelNames: string[];
       registers: typeof registers;
     }) => Kind,
   ): Kind => {
-    const found = kinds.get(name);
-    if (found !== undefined) {
-      return found;
+    const existing = metrics.get(name);
+    if (existing !== undefined) {
+      return existing;
     }
     const help = `See docs/metrics.md, ${name}.`;
-    const made = make({ name: pageName(name), help, labelNames: Object.keys(tags), registers });
-    kinds.set(name, made);
-    return made;
+    const created = createMetric({
+      name: prometheusName(name),
+      help,
+      labelNames: Object.keys(tags),
+      registers,
+    });
+    metrics.set(name, created);
+    return created;
   };
 
   return {
     count: (name, value = 1, tags = {}) => {
-      known(counters, name, tags, (options) => new promClient.Counter(options)).inc({ ...tags }, value);
+      getOrCreate(counters, name, tags, (options) => new promClient.Counter(options)).inc({ ...tags }, value);
     },
     gauge: (name, value, tags = {}) => {
-      known(gauges, name, tags, (options) => new promClient.Gauge(options)).set({ ...tags }, value);
+      getOrCreate(gauges, name, tags, (options) => new promClient.Gauge(options)).set({ ...tags }, value);
     },
     timing: (name, milliseconds, tags = {}) => {
-      known(
+      getOrCreate(
         histograms,
         name,
         tags,
--- a/packages/kumquatfront/src/adapters/peerAuthentication.ts
+++ b/packages/kumquatfront/src/adapters/peerAuthentication.ts
@@ -1,14 +1,14 @@
 /**
- * Mutual authentication of two processes of the system by their shared cluster key: each proves that it
- * knows the key by a digest over both sides' fresh random numbers, so an overheard proof is of no use later.
+ * Mutual challenge-response authentication of two processes with a shared cluster key. Each side proves that it
+ * knows the key by an HMAC over both nonces, so a recorded proof cannot be replayed.
  */
 import * as crypto from 'node:crypto';
 
-/** Which side gives a proof; it enters the digest, so that a proof cannot be sent back to its maker. */
-export type Side = 'client' | 'server';
+/** Role of the peer that creates a proof; it is part of the HMAC, so that a proof cannot be reflected to its sender. */
+export type PeerRole = 'client' | 'server';
 
 /**
- * A fresh random number.
+ * Creates a random nonce.
  *
  * @returns 32 hexadecimal digits
  * @example
@@ -21,34 +21,34 @@
 }
 
 /**
- * Proof of knowing the key.
+ * Creates the proof that a peer knows the cluster key.
  *
  * @param key - the cluster key
- * @param side - who gives the proof
- * @param clientNonce - the client's random number
- * @param serverNonce - the server's random number
+ * @param role - role of the peer that creates the proof
+ * @param clientNonce - nonce of the client
+ * @param serverNonce - nonce of the server
  * @returns the proof in hexadecimal
  * @example
  * ```ts
- * peerAuthentication.prove(key, 'client', clientNonce, serverNonce);
+ * peerAuthentication.createProof(key, 'client', clientNonce, serverNonce);
  * ```
  */
-export function prove(key: string, side: Side, clientNonce: string, serverNonce: string): string {
-  return crypto.createHmac('sha256', key).update(`${side}:${clientNonce}:${serverNonce}`).digest('hex');
+export function createProof(key: string, role: PeerRole, clientNonce: string, serverNonce: string): string {
+  return crypto.createHmac('sha256', key).update(`${role}:${clientNonce}:${serverNonce}`).digest('hex');
 }
 
 /**
- * Compares two proofs in constant time.
+ * Compares two secrets, such as proofs or key hashes, in time that does not depend on their contents.
  *
- * @param left - one
- * @param right - the other
- * @returns true when they are equal
+ * @param left - the first secret
+ * @param right - the second secret
+ * @returns true where they are equal
  * @example
  * ```ts
- * peerAuthentication.isSame(received, expected);
+ * peerAuthentication.timingSafeEqual(received, expected);
  * ```
  */
-export function isSame(left: string, right: string): boolean {
+export function timingSafeEqual(left: string, right: string): boolean {
   const leftBytes = Buffer.from(left);
   const rightBytes = Buffer.from(right);
   return leftBytes.length === rightBytes.length && crypto.timingSafeEqual(leftBytes, rightBytes);
--- a/packages/kumquatfront/src/adapters/metricsPage.spec.ts
+++ b/packages/kumquatfront/src/adapters/prometheusMetrics.spec.ts
@@ -1,12 +1,12 @@
 /**
- * The page of metrics.
+ * Rendering of Prometheus metrics.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
 
 import * as metricsPage from './metricsPage.js';
 
-void test.test('counters, gauges and histograms are on the page with their labels', async () => {
+void test.test('counters, gauges and histograms are rendered with their labels', async () => {
   const metrics = metricsPage.create('entry-1');
   metrics.count('refusals', 2, { kind: 'overloaded' });
   metrics.count('refusals', 1, { kind: 'overloaded' });
--- a/packages/kumquatfront/src/adapters/seededRandom.ts
+++ b/packages/kumquatfront/src/adapters/seededRandom.ts
@@ -1,5 +1,5 @@
 /**
- * Random numbers by `pure-rand`: seeded, so that a run can be repeated.
+ * Random number generators based on `pure-rand`, seeded for reproducible runs.
  */
 import * as crypto from 'node:crypto';
 
@@ -10,14 +10,14 @@
 const TWO_TO_32 = 2 ** 32;
 
 /**
- * Creates a generator from a seed.
+ * Creates a deterministic generator from a seed.
  *
- * @param seed - a whole number
+ * @param seed - an integer
  * @returns the generator
  * @example
  * ```ts
  * const random = seededRandom.create(7);
- * random.next(); // the same for every run
+ * random.next(); // the same value in every run
  * ```
  */
 export function create(seed: number): ports.Random {
@@ -31,7 +31,7 @@
 }
 
 /**
- * Creates a generator that nobody can foretell: identities come from the system's own source.
+ * Creates a generator with a random seed, whose identities come from the cryptographic source of the system.
  *
  * @returns the generator
  * @example
--- a/packages/kumquatfront/src/adapters/freshExchange.spec.ts
+++ b/packages/kumquatfront/src/adapters/singleUseConnection.spec.ts
@@ -1,5 +1,5 @@
 /**
- * One exchange on a connection of its own, against a server that speaks bytes.
+ * HTTP exchanges on single-use connections against a raw TCP server.
  */
 import * as assert from 'node:assert/strict';
 import * as net from 'node:net';
@@ -14,7 +14,7 @@
   readonly failure: string;
 }
 
-/** Serves one connection, and tells how the exchange with it ended. */
+/** Sends a request to a server with the given connection handler and returns the outcome. */
 function exchangeWith(serve: (socket: net.Socket) => void): Promise<Outcome> {
   return new Promise((resolve) => {
     const server = net.createServer((socket) => {
@@ -50,9 +50,9 @@
   });
 }
 
-// The caller must not get half an answer as a whole one. An upstream may answer without a length and end with
-// its connection; when it crashes in the middle the connection is reset, and nothing else tells the two apart.
-void test.test('an answer without a length whose connection is reset is not whole', async () => {
+// A response without a length ends with its connection, so only a reset shows that the upstream crashed before the
+// response was complete.
+void test.test('a response without a length is incomplete where its connection is reset', async () => {
   const outcome = await exchangeWith((socket) => {
     socket.write('HTTP/1.1 200 OK\r\n\r\nhalf of it', () => {
       setTimeout(() => {
@@ -64,45 +64,54 @@
   assert.equal(outcome.failure, 'broken');
 });
 
-// As above, but the last bytes and the reset arrive together. The event loop then reports the end of the
-// connection in place of its reset, so the caller would get half an answer as a whole one.
-void test.test('an answer without a length is not whole where the reset comes with its bytes', async () => {
-  const outcome = await exchangeWith((socket) => {
-    socket.write('HTTP/1.1 200 OK\r\n\r\nhalf of it');
-    socket.resetAndDestroy();
-  });
-  assert.equal(outcome.ended, false);
-  assert.equal(outcome.failure, 'broken');
-});
+// As above, but the last bytes and the reset arrive together, in which case Node.js reports an end instead of the
+// reset.
+void test.test(
+  'a response without a length is incomplete where the reset arrives with its last bytes',
+  async () => {
+    const outcome = await exchangeWith((socket) => {
+      socket.write('HTTP/1.1 200 OK\r\n\r\nhalf of it');
+      socket.resetAndDestroy();
+    });
+    assert.equal(outcome.ended, false);
+    assert.equal(outcome.failure, 'broken');
+  },
+);
 
-void test.test('an answer without a length that ends with its connection is whole', async () => {
-  const outcome = await exchangeWith((socket) => {
-    socket.end('HTTP/1.1 200 OK\r\n\r\nall of it');
-  });
-  assert.deepEqual(outcome, { ended: true, body: 'all of it', failure: '' });
-});
+void test.test(
+  'a response without a length is complete where its connection ends without a reset',
+  async () => {
+    const outcome = await exchangeWith((socket) => {
+      socket.end('HTTP/1.1 200 OK\r\n\r\nall of it');
+    });
+    assert.deepEqual(outcome, { ended: true, body: 'all of it', failure: '' });
+  },
+);
 
-// A faulty upstream sends bytes behind its whole answer; they belong to no request, and the answer counts.
-void test.test('bytes behind a whole answer are dropped', async () => {
+// Extra bytes that a faulty upstream sends after a complete response must not invalidate the response.
+void test.test('bytes after a complete response are ignored', async () => {
   const outcome = await exchangeWith((socket) => {
     socket.end('HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwholeHTTP/1.1 200 OK\r\n\r\nmore');
   });
   assert.deepEqual(outcome, { ended: true, body: 'whole', failure: '' });
 });
 
-void test.test('an answer that is cut short is broken, and one that is no answer is garbled', async () => {
-  const short = await exchangeWith((socket) => {
-    socket.end('HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nshort');
-  });
-  assert.equal(short.failure, 'broken');
-  const garbled = await exchangeWith((socket) => {
-    socket.end('no answer at all\r\n\r\n');
-  });
-  assert.equal(garbled.failure, 'garbled');
-});
+void test.test(
+  'a truncated response fails as broken, and a response that is not HTTP fails as garbled',
+  async () => {
+    const short = await exchangeWith((socket) => {
+      socket.end('HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nshort');
+    });
+    assert.equal(short.failure, 'broken');
+    const garbled = await exchangeWith((socket) => {
+      socket.end('no answer at all\r\n\r\n');
+    });
+    assert.equal(garbled.failure, 'garbled');
+  },
+);
 
-// A connection that is refused has carried nothing, so the request may go to another upstream.
-void test.test('a refused connection has sent nothing', async () => {
+// Nothing was sent on a refused connection, so the request may be sent to another upstream.
+void test.test('a refused connection is reported as not sent', async () => {
   const probe = net.createServer();
   const port = await new Promise<number>((resolve) => {
     probe.listen(0, '127.0.0.1', () => {
--- a/packages/kumquatfront/src/adapters/statsdMetrics.ts
+++ b/packages/kumquatfront/src/adapters/statsdMetrics.ts
@@ -1,11 +1,11 @@
 /**
- * Metrics by `hot-shots`, to a StatsD address; without an address they go nowhere.
+ * StatsD metrics with `hot-shots`; without a configured host they are discarded.
  */
 import * as hotShots from 'hot-shots';
 
 import type * as ports from '../kernel/ports.js';
 
-/** Where metrics go. */
+/** Address of the StatsD collector; metrics are discarded where the host is undefined. */
 export interface MetricsSettings {
   readonly host?: string;
   readonly port?: number;
@@ -14,10 +14,10 @@
 const PREFIX = 'kumquatfront.';
 
 /**
- * Creates metrics.
+ * Creates a StatsD client.
  *
- * @param settings - where they go
- * @param process - the process, a tag on every metric
+ * @param settings - address of the collector
+ * @param process - name of the process, set as a tag on every metric
  * @returns the metrics
  * @example
  * ```ts
@@ -25,7 +25,7 @@
  * ```
  */
 export function create(settings: MetricsSettings, process: string): ports.Metrics {
-  // Without a collector there is nothing to open a socket for.
+  // Avoids opening a socket where no collector is configured.
   if (settings.host === undefined) {
     return silent;
   }
@@ -35,7 +35,7 @@
     prefix: PREFIX,
     globalTags: { process },
     maxBufferSize: 1_400,
-    // Metrics may be lost; an unreachable collector must not end the process.
+    // Metrics may be lost; an unreachable collector must not crash the process.
     errorHandler: () => undefined,
   });
   return {
@@ -51,7 +51,7 @@
   };
 }
 
-/** Metrics that go nowhere. */
+/** Metrics that discard all values. */
 export const silent: ports.Metrics = {
   count: () => undefined,
   gauge: () => undefined,
--- a/packages/kumquatfront/src/adapters/systemTime.ts
+++ b/packages/kumquatfront/src/adapters/systemTime.ts
@@ -1,15 +1,15 @@
 /**
- * The machine's clock and timers.
+ * Clock and scheduler of the operating system.
  */
 import type * as ports from '../kernel/ports.js';
 
-/** The machine's clocks; the monotonic one goes on while the process is frozen. */
+/** Monotonic and wall clock; the monotonic clock continues while the process is suspended. */
 export const clock: ports.Clock = {
   now: () => performance.now(),
   wall: () => Date.now(),
 };
 
-/** The event loop's timers. */
+/** Scheduler based on the timers of the event loop. */
 export const scheduler: ports.Scheduler = {
   after: (delay, run) => {
     const timer = setTimeout(run, delay);
--- a/packages/kumquatfront/src/adapters/trafficHttp.ts
+++ b/packages/kumquatfront/src/adapters/trafficHttp.ts
@@ -1,6 +1,6 @@
 /**
- * HTTP server for requests that are read whole and relayed. What a request's headers mean is told by a
- * decoder, and how a refusal looks by an encoder; this module knows HTTP only.
+ * HTTP server that buffers the requests of callers and hands them to a relay. A decoder interprets the headers of
+ * requests and an encoder formats refusals; this module handles HTTP only.
  */
 import * as http from 'node:http';
 
@@ -9,21 +9,21 @@
 import type * as trafficTypes from '../traffic/types.js';
 import * as rawHeaders from './rawHeaders.js';
 
-/** Limits before the first configuration: those of common HTTP servers. */
-const FIRST_LIMITS: trafficTypes.CallerLimits = {
+/** Limits that apply until a configuration is loaded. */
+const DEFAULT_LIMITS: trafficTypes.CallerLimits = {
   headerBytes: 16_384,
   bodyBytes: 4_194_304,
   headerTimeout: 5_000,
   idleTimeout: 15_000,
 };
 
-/** The most of a request's header that is ever read; a configured limit below it is checked besides. */
+/** Maximum header size that the HTTP parser accepts; the configured limit is checked in addition. */
 const MAXIMUM_HEADER_BYTES = 65_536;
 
-/** A kept connection stays open a little longer than callers are told, so that no request crosses its close. */
-const IDLE_MARGIN: ports.Milliseconds = 1_000;
+/** Added to the idle timeout announced to callers, so that no request arrives while the connection is closed. */
+const KEEP_ALIVE_MARGIN: ports.Milliseconds = 1_000;
 
-/** A request as HTTP gives it. */
+/** A received HTTP request before decoding. */
 export interface RawRequest {
   readonly method: string;
   readonly url: string;
@@ -32,37 +32,37 @@
   readonly arrivedAt: ports.Milliseconds;
 }
 
-/** How a refusal looks on the wire. */
+/** HTTP response for a refused request. */
 export interface RefusalAnswer {
   readonly status: number;
   readonly headers: readonly relayTypes.Header[];
   readonly body: string;
 }
 
-/** What the server is made from. */
+/** Options of the server. */
 export interface TrafficHttpOptions {
   readonly clock: ports.Clock;
   readonly log: ports.Log;
   readonly limits: () => trafficTypes.CallerLimits | undefined;
-  /** True once callers should go elsewhere: kept connections are closed behind their next answer. */
+  /** True while the entry drains: keep-alive connections are closed after their next response. */
   readonly draining: () => boolean;
   readonly decode: (raw: RawRequest) => relayTypes.TrafficRequest;
   readonly encodeRefusal: (request: relayTypes.TrafficRequest, refusal: relayTypes.Refusal) => RefusalAnswer;
   readonly handle: (request: relayTypes.TrafficRequest, caller: relayTypes.CallerPort) => void;
 }
 
-/** The server, with the limits of the newest configuration put in force on demand. */
+/** An HTTP server whose limits can be updated from the configuration. */
 export interface TrafficServer {
   readonly server: http.Server;
-  /** Puts the limits of a new configuration in force. */
+  /** Applies the limits of the current configuration. */
   refreshLimits(): void;
 }
 
 /**
- * Creates the server.
+ * Creates the HTTP server.
  *
- * @param options - decoder, encoder and handler
- * @returns the server; call `listen` on it
+ * @param options - limits, decoder, encoder and request handler
+ * @returns the server, not yet listening
  * @example
  * ```ts
  * const { server } = trafficHttp.create(options);
@@ -71,7 +71,7 @@
  */
 export function create(options: TrafficHttpOptions): TrafficServer {
   const server = http.createServer({ maxHeaderSize: MAXIMUM_HEADER_BYTES }, (incoming, outgoing) => {
-    receive(options, incoming, outgoing);
+    receiveRequest(options, incoming, outgoing);
   });
   server.on('clientError', (error: NodeJS.ErrnoException, socket) => {
     if (error.code === 'ECONNRESET' || !socket.writable) {
@@ -83,35 +83,35 @@
     socket.end(`HTTP/1.1 ${status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
   });
   const refreshLimits = (): void => {
-    const limits = options.limits() ?? FIRST_LIMITS;
+    const limits = options.limits() ?? DEFAULT_LIMITS;
     server.headersTimeout = limits.headerTimeout;
-    server.keepAliveTimeout = limits.idleTimeout + IDLE_MARGIN;
+    server.keepAliveTimeout = limits.idleTimeout + KEEP_ALIVE_MARGIN;
   };
-  // A body may come slowly; its caller's own deadline ends it.
+  // Slow request bodies are limited by the deadline of the caller instead.
   server.requestTimeout = 0;
   refreshLimits();
   return { server, refreshLimits };
 }
 
-function refuseEarly(outgoing: http.ServerResponse, status: number, message: string): void {
+function rejectRequest(outgoing: http.ServerResponse, status: number, message: string): void {
   outgoing.writeHead(status, { Connection: 'close', 'Content-Type': 'application/json' });
   outgoing.end(JSON.stringify({ error: message }));
 }
 
-function receive(
+function receiveRequest(
   options: TrafficHttpOptions,
   incoming: http.IncomingMessage,
   outgoing: http.ServerResponse,
 ): void {
-  const limits = options.limits() ?? FIRST_LIMITS;
+  const limits = options.limits() ?? DEFAULT_LIMITS;
   const arrivedAt = options.clock.now();
   const headerBytes = incoming.rawHeaders.reduce((sum, text) => sum + text.length + 2, 0);
   if (headerBytes > limits.headerBytes) {
-    refuseEarly(outgoing, 431, `The header has more than ${limits.headerBytes} bytes; send less.`);
+    rejectRequest(outgoing, 431, `The header has more than ${limits.headerBytes} bytes; send less.`);
     return;
   }
   if (Number(incoming.headers['content-length'] ?? 0) > limits.bodyBytes) {
-    refuseEarly(outgoing, 413, `The body has more than ${limits.bodyBytes} bytes; send less.`);
+    rejectRequest(outgoing, 413, `The body has more than ${limits.bodyBytes} bytes; send less.`);
     return;
   }
   const chunks: Buffer[] = [];
@@ -121,7 +121,7 @@
     if (length <= limits.bodyBytes) {
       chunks.push(bytes);
     } else if (!outgoing.headersSent) {
-      refuseEarly(outgoing, 413, `The body has more than ${limits.bodyBytes} bytes; send less.`);
+      rejectRequest(outgoing, 413, `The body has more than ${limits.bodyBytes} bytes; send less.`);
     }
   });
   incoming.on('error', (error) => {
@@ -134,7 +134,7 @@
     const request = options.decode({
       method: incoming.method ?? 'GET',
       url: incoming.url ?? '/',
-      headers: rawHeaders.pairs(incoming.rawHeaders),
+      headers: rawHeaders.toPairs(incoming.rawHeaders),
       body: Buffer.concat(chunks),
       arrivedAt,
     });
@@ -148,7 +148,7 @@
   outgoing: http.ServerResponse,
 ): relayTypes.CallerPort {
   const writeHead = (status: number, headers: readonly relayTypes.Header[]): void => {
-    // Set before the head is written: Node names its own keep-alive and would leave the connection open.
+    // Must be set before the headers are written, since Node.js then decides whether to keep the connection open.
     outgoing.shouldKeepAlive = outgoing.shouldKeepAlive && !options.draining();
     for (const [name, value] of headers) {
       outgoing.appendHeader(name, value);
--- a/packages/scenarios/src/scripts/relaySafeguards.ts
+++ b/packages/scenarios/src/scripts/relaySafeguards.ts
@@ -79,9 +79,9 @@
   {
     name: 'an answer without a length is whole only where its connection was not reset',
     file: 'adapters/freshExchange.js',
-    find: 'ended(finish);',
+    find: 'checkReset(finish);',
     replace: 'finish(false);',
-    scenario: 'spec:adapters/freshExchange',
+    scenario: 'spec:adapters/singleUseConnection',
   },
   {
     name: 'leaving is final for an incarnation',
@@ -151,7 +151,7 @@
     file: 'adapters/jsonRpcTransport.js',
     find: 'scheduler.after(CONNECT_TIMEOUT, ',
     replace: 'scheduler.after(CONNECT_TIMEOUT * 100, ',
-    scenario: 'spec:adapters/peerConnecting',
+    scenario: 'spec:adapters/jsonRpcTransport',
   },
   {
     name: 'one generation at a time leaves an engine',
@@ -268,7 +268,7 @@
   {
     name: 'a log never waits for its reader',
     file: 'adapters/boundedOutput.js',
-    find: "weight === 'ordinary' && this.tokens < 1",
+    find: "priority === 'ordinary' && this.tokens < 1",
     replace: 'false',
     scenario: 'spec:adapters/boundedOutput',
   },
