--- a/packages/scenarios/src/index.ts
+++ b/packages/scenarios/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The world on virtual time, for measurements.
+ * Simulated deployment on virtual time, exported for benchmarks.
  */
 export * as baseConfiguration from './language/baseConfiguration.js';
 export * as host from './world/host.js';
--- a/packages/scenarios/src/language/actions.ts
+++ b/packages/scenarios/src/language/actions.ts
@@ -1,25 +1,25 @@
 /**
- * What a scenario can do, verb by verb.
+ * Implements the verbs of the scenario language, except `expect`.
  */
 import * as kumquatfront from 'kumquatfront';
 
 import * as baseConfiguration from './baseConfiguration.js';
 import * as expectations from './expectations.js';
-import * as lineModule from './line.js';
+import * as scenarioLine from './scenarioLine.js';
 import type * as session from './session.js';
 
-/** Carries out one line. */
-export type Action = (current: session.Session, line: lineModule.Line) => void;
+/** Runs one line. */
+export type Action = (current: session.Session, line: scenarioLine.Line) => void;
 
-const { word, wordAfter, numberOption, duration } = lineModule;
+const { word, wordAfter, numberOption, parseDuration } = scenarioLine;
 
-function entryOf(line: lineModule.Line): string {
+function entryOf(line: scenarioLine.Line): string {
   return wordAfter(line, 'at') ?? 'entry-1';
 }
 
-function onHost(act: (current: session.Session, name: string) => void): Action {
+function createHostAction(run: (current: session.Session, name: string) => void): Action {
   return (current, line) => {
-    act(current, word(line, 0));
+    run(current, word(line, 0));
   };
 }
 
@@ -28,7 +28,7 @@
     pool: line.options.pool ?? 'llm',
     reportLag: numberOption(line, 'lag', 200),
     checksFencing: line.options.fencing !== 'ignored',
-    endsUnderTokens:
+    crashesAtOutputTokens:
       line.options['ends-under'] === undefined ? undefined : numberOption(line, 'ends-under', 0),
     options: {
       memoryTokens: numberOption(line, 'memory', 6_000),
@@ -42,12 +42,12 @@
   });
 };
 
-const send: Action = (current, line) => {
+const startStream: Action = (current, line) => {
   const account = line.options.account === 'canteen' ? 'canteen' : 'school';
   const traffic = line.options.traffic ?? 'report';
-  const wish = {
+  const request = {
     name: word(line, 0),
-    subject: line.options.subject,
+    promptPrefix: line.options.subject,
     key: baseConfiguration.accountKeys[account],
     labels: `traffic=${traffic}`,
     tokens: numberOption(line, 'tokens', 100),
@@ -55,22 +55,29 @@
     acceptsRestart: line.words.includes('restart'),
     persistent: line.words.includes('persistent'),
   };
-  current.stream(wish, named(current, entryOf(line)));
+  current.stream(request, resolveHostName(current, entryOf(line)));
 };
 
-const act: Action = (current, line) => {
+const callWithKey: Action = (current, line) => {
   const name = word(line, 0);
   const key = line.options.key ?? name;
-  current.call(name, 'POST', line.options.path ?? '/pay', key, line.options.body ?? name, entryOf(line));
+  current.callService(
+    name,
+    'POST',
+    line.options.path ?? '/pay',
+    key,
+    line.options.body ?? name,
+    entryOf(line),
+  );
 };
 
-const read: Action = (current, line) => {
+const readFromService: Action = (current, line) => {
   const name = word(line, 0);
-  current.call(name, 'GET', line.options.path ?? `/balances/${name}`, undefined, '', entryOf(line));
+  current.callService(name, 'GET', line.options.path ?? `/balances/${name}`, undefined, '', entryOf(line));
 };
 
 /** `change c1 market m1 expect=0 region=north at control-1` */
-const change: Action = (current, line) => {
+const submitChange: Action = (current, line) => {
   const [name, kind, object] = [word(line, 0), word(line, 1), word(line, 2)];
   const { expect = '0', id, match, precedence = '50', region = name } = line.options;
   const bodies: Readonly<Record<string, unknown>> = {
@@ -83,11 +90,11 @@
     : Number(expect);
   const body = line.words.includes('delete') ? null : (bodies[kind] ?? {});
   const draft = { kind: kind as 'market', name: object, body, expectedVersion, changeId: id };
-  current.change(name, draft, named(current, wordAfter(line, 'at') ?? 'leader'));
+  current.change(name, draft, resolveHostName(current, wordAfter(line, 'at') ?? 'leader'));
 };
 
-/** `changes 500 markets` applies many changes, each waited for. */
-const changes: Action = (current, line) => {
+/** `changes 500 markets`: applies that many changes, one after the other. */
+const submitBulkChanges: Action = (current, line) => {
   for (let count = 0; count < Number(word(line, 0)); count += 1) {
     const name = `bulk-${current.changes.size}`;
     const draft = { kind: 'market' as const, name, body: { labels: { region: name } }, expectedVersion: 0 };
@@ -96,7 +103,7 @@
   }
 };
 
-const order: Action = (current, line) => {
+const proposeOrder: Action = (current, line) => {
   const [leader = ''] = current.world.leaders();
   const action = line.options.action === 'changeRole' ? 'changeRole' : 'loadModel';
   const replica = current.world.controls.get(leader)?.node?.services.find('replica');
@@ -109,7 +116,7 @@
   replica?.propose(command, () => undefined);
 };
 
-/** `evacuate centre-1`, `restore centre-1`: an operator's order at the leader. */
+/** `evacuate centre-1`, `restore centre-1`: sends an operator command to the leader. */
 function orderDataCentre(type: kumquatfront.agreedTypes.DataCentreCommand['type']): Action {
   return (current, line) => {
     const dataCentre = word(line, 0);
@@ -121,30 +128,30 @@
   };
 }
 
-const UNTIL_LIMIT = 10_000;
+const UNTIL_TIMEOUT = 10_000;
 
-/** `until change c1 accepted`: runs a millisecond at a time, so that what follows comes right after it. */
-const until: Action = (current, line) => {
+/** `until change c1 accepted`: advances by single milliseconds, so that the next line runs right after the change. */
+const advanceUntil: Action = (current, line) => {
   const { time } = current.world;
-  for (let waited = 0; waited < UNTIL_LIMIT; waited += 1) {
+  for (let waited = 0; waited < UNTIL_TIMEOUT; waited += 1) {
     if (expectations.holds(current, line)) {
       return;
     }
     time.advance(1);
   }
-  throw new lineModule.ScenarioError(line, `it did not come within ${UNTIL_LIMIT} ms`);
+  throw new scenarioLine.ScenarioError(line, `the expectation did not hold within ${UNTIL_TIMEOUT} ms`);
 };
 
 const leaderOf = (current: session.Session): string => current.world.leaders()[0] ?? '';
 
-/** The entry that coordinates the engines of the pool, by the rule that all entries share. */
+/** Entry that coordinates the engine pool, by the same rendezvous hash that entries use. */
 function coordinatorOf(current: session.Session): string {
   const up = [...current.world.entries.keys()].filter((name) => current.world.hostOf(name).isUp);
   return kumquatfront.rendezvous.pick('llm/0/1', up) ?? '';
 }
 
-/** Names a host: the leader, the coordinator, or some other entry than the coordinator, by those words. */
-function named(current: session.Session, name: string): string {
+/** Resolves `leader`, `coordinator` and `others` (an entry that is not the coordinator); other names are host names. */
+function resolveHostName(current: session.Session, name: string): string {
   switch (name) {
     case 'leader':
       return leaderOf(current);
@@ -157,7 +164,7 @@
   }
 }
 
-/** Every verb. */
+/** Actions by verb. */
 export const actions: Readonly<Record<string, Action>> = {
   engine: addEngine,
   service: (current, line) => {
@@ -167,31 +174,31 @@
     current.configure();
   },
   advance: (current, line) => {
-    current.world.time.advance(duration(line, word(line, 0)));
+    current.world.time.advance(parseDuration(line, word(line, 0)));
   },
-  until,
-  send,
-  act,
-  read,
-  change,
-  changes,
-  order,
+  until: advanceUntil,
+  send: startStream,
+  act: callWithKey,
+  read: readFromService,
+  change: submitChange,
+  changes: submitBulkChanges,
+  order: proposeOrder,
   evacuate: orderDataCentre('evacuate'),
   restore: orderDataCentre('restore'),
   kill: (current, line) => {
-    const name = named(current, word(line, 0));
+    const name = resolveHostName(current, word(line, 0));
     current.world.record(`-- ${name} is killed`);
     current.world.kill(name, line.words.includes('torn'));
   },
-  boot: onHost((current, name) => {
+  boot: createHostAction((current, name) => {
     current.world.boot(name);
   }),
   freeze: (current, line) => {
-    const name = named(current, word(line, 0));
+    const name = resolveHostName(current, word(line, 0));
     current.world.record(`-- ${name} freezes`);
     current.world.freeze(name);
   },
-  thaw: onHost((current, name) => {
+  thaw: createHostAction((current, name) => {
     current.world.record(`-- ${name} thaws`);
     current.world.thaw(name);
   }),
@@ -199,17 +206,24 @@
     current.world.net.cut(word(line, 0), word(line, 1));
   },
   'cut-one-way': (current, line) => {
-    current.world.net.cutOneWay(named(current, word(line, 0)), named(current, word(line, 1)));
+    current.world.net.cutOneWay(
+      resolveHostName(current, word(line, 0)),
+      resolveHostName(current, word(line, 1)),
+    );
   },
   lag: (current, line) => {
-    current.world.net.lag(named(current, word(line, 0)), word(line, 1), duration(line, word(line, 2)));
+    current.world.net.setLatency(
+      resolveHostName(current, word(line, 0)),
+      word(line, 1),
+      parseDuration(line, word(line, 2)),
+    );
   },
   isolate: (current, line) => {
-    const name = named(current, word(line, 0));
+    const name = resolveHostName(current, word(line, 0));
     current.world.record(`-- ${name} is cut off`);
     current.world.isolate(name);
   },
-  /** `partition control-1 entry-1` cuts the named hosts, which hear each other, from all others. */
+  /** `partition control-1 entry-1`: cuts the links between the named hosts and all other hosts. */
   partition: (current, line) => {
     for (const name of line.words) {
       for (const other of current.world.net.hosts.keys()) {
@@ -223,17 +237,17 @@
     current.world.record('-- every link heals');
     current.world.net.heal();
   },
-  'lose-disk': onHost((current, name) => {
-    current.world.controls.get(name)?.disk.lose();
+  'lose-disk': createHostAction((current, name) => {
+    current.world.controls.get(name)?.disk.erase();
   }),
   'flip-bit': (current, line) => {
     current.world.controls.get(word(line, 0))?.disk.flipBit('log');
   },
-  leave: onHost((current, name) => {
+  leave: createHostAction((current, name) => {
     current.world.record(`-- ${name} says that it leaves`);
     current.world.leave(name);
   }),
-  drain: onHost((current, name) => {
+  drain: createHostAction((current, name) => {
     current.world.entries.get(name)?.node?.drain(() => {
       current.world.record(`${name} has drained`);
       current.world.kill(name);
@@ -246,15 +260,15 @@
     current.streams.get(word(line, 0))?.setSlow(false);
   },
   away: (current, line) => {
-    current.streams.get(word(line, 0))?.leave();
+    current.streams.get(word(line, 0))?.disconnect();
   },
   back: (current, line) => {
-    current.streams.get(word(line, 0))?.comeBack(entryOf(line));
+    current.streams.get(word(line, 0))?.reconnect(entryOf(line));
   },
   delay: (current, line) => {
     const service = current.world.services.get(word(line, 0));
     if (service !== undefined) {
-      service.delay = duration(line, word(line, 1));
+      service.delay = parseDuration(line, word(line, 1));
     }
   },
 };
--- a/packages/scenarios/src/language/baseConfiguration.ts
+++ b/packages/scenarios/src/language/baseConfiguration.ts
@@ -1,10 +1,10 @@
 /**
- * The configuration that scenarios begin with: one market, two client accounts, an engine pool, a service
- * pool, and selectors for reports, questions, reads and actions.
+ * Initial configuration of scenarios: one market, two client accounts, an engine pool, a service pool, and selectors
+ * for reports, sheets, questions, reads and actions.
  */
 import * as kumquatfront from 'kumquatfront';
 
-/** Bearer keys of the accounts. */
+/** Bearer keys of the client accounts. */
 export const accountKeys = { school: 'key-of-school', canteen: 'key-of-canteen' } as const;
 
 function account(name: keyof typeof accountKeys): kumquatfront.configurationTypes.ConfigurationDraft {
@@ -16,7 +16,7 @@
   return { kind: 'selector', name, body: { precedence: 10, ...body } };
 }
 
-/** The objects, in the order in which they are applied. */
+/** Configuration objects, in the order in which they are applied. */
 export const drafts: readonly kumquatfront.configurationTypes.ConfigurationDraft[] = [
   { kind: 'market', name: 'wa-perth', body: { labels: { region: 'wa' } } },
   { kind: 'deployment', name: 'llm', body: { kind: 'engine', upstreams: 'pool=llm', models: ['m'] } },
--- a/packages/scenarios/src/language/expectations.ts
+++ b/packages/scenarios/src/language/expectations.ts
@@ -1,13 +1,13 @@
 /**
- * What a scenario can expect, and the checks that end every scenario.
+ * Implements `expect` lines, and the invariants that are checked at the end of every scenario.
  */
-import * as lineModule from './line.js';
+import * as scenarioLine from './scenarioLine.js';
 import type * as session from './session.js';
 
-/** Checks one line; returns what is wrong, or undefined. */
-type Expectation = (current: session.Session, line: lineModule.Line) => string | undefined;
+/** Checks one line; returns the mismatch, or undefined when the expectation holds. */
+type Expectation = (current: session.Session, line: scenarioLine.Line) => string | undefined;
 
-const { word, numberOption } = lineModule;
+const { word, numberOption } = scenarioLine;
 
 function compare(what: string, actual: unknown, expected: unknown): string | undefined {
   return String(actual) === String(expected)
@@ -19,7 +19,7 @@
 const stream: Expectation = (current, line) => {
   const found = current.streams.get(word(line, 0));
   if (found === undefined) {
-    return 'there is no such stream';
+    return 'the stream does not exist';
   }
   const { restarts, connections, tokens } = line.options;
   return (
@@ -55,19 +55,19 @@
   stream,
   call,
   change,
-  ran: (current, line) => compare('runs', current.runsOf(word(line, 0)), word(line, 1)),
+  ran: (current, line) => compare('runs', current.runCountOf(word(line, 0)), word(line, 1)),
   leaders: (current, line) => compare('leaders', current.world.leaders().length, word(line, 0)),
   leader: (current, line) => compare('leader', current.world.leaders()[0], word(line, 0)),
-  /** Running replicas that vote under their present identity; a lost identity may still be listed. */
-  voters: (current, line) => compare('voters', votersOf(current), word(line, 0)),
-  /** Digests of all running replicas are equal. */
+  /** Running replicas that vote under their current identity; members may still list an identity that was lost. */
+  voters: (current, line) => compare('voters', countRunningVoters(current), word(line, 0)),
+  /** The state digests of all running replicas are equal. */
   'equal-state': (current) => {
     const digests = [...current.world.controls.values()]
-      .filter((slot) => slot.host.isUp)
-      .map((slot) => slot.node?.status().digest);
+      .filter((replica) => replica.host.isUp)
+      .map((replica) => replica.node?.status().digest);
     return compare('number of different states', new Set(digests).size, 1);
   },
-  /** `expect in-force c1 3`: a change is in force at so many entries. */
+  /** `expect in-force c1 3`: the number of entries where a change is in force. */
   'in-force': (current, line) => {
     const version = current.changes.get(word(line, 0))?.version ?? 0;
     return version === 0
@@ -79,7 +79,7 @@
     compare('state', current.world.entries.get(word(line, 0))?.node?.presence().state, word(line, 1)),
   up: (current, line) => compare('up', current.world.hostOf(word(line, 0)).isUp, true),
   down: (current, line) => compare('up', current.world.hostOf(word(line, 0)).isUp, false),
-  /** `expect starts e1 2`: generations that an engine has taken in its present life. */
+  /** `expect starts e1 2`: generations started by the current incarnation of an engine. */
   starts: (current, line) =>
     compare('starts', current.world.engines.get(word(line, 0))?.model.counts.starts, word(line, 1)),
   running: (current, line) =>
@@ -87,130 +87,130 @@
   /** `expect listed entry-1 at entry-2` and `expect unlisted ...` */
   listed: (current, line) => compare('listed', isListed(current, line), true),
   unlisted: (current, line) => compare('listed', isListed(current, line), false),
-  /** Orders taken by an upstream, oldest first: `expect orders e1 o1,o2`; by their targets. */
+  /** `expect orders e1 o1,o2`: targets of the orders that an upstream accepted, oldest first. */
   orders: (current, line) => {
-    const taken = current.world.engines.get(word(line, 0))?.orders.taken ?? [];
-    return compare('orders', taken.map((order) => order.target).join(','), word(line, 1));
+    const accepted = current.world.engines.get(word(line, 0))?.orderReceiver.accepted ?? [];
+    return compare('orders', accepted.map((order) => order.target).join(','), word(line, 1));
   },
-  /** Loads that the weight store refused. */
+  /** Loads that the weight store rejected. */
   'weight-refusals': (current, line) =>
-    compare('refused loads', current.world.weightStore.refused, word(line, 0)),
-  /** `expect newest-order e1 second`: what the upstream ended up with. */
+    compare('refused loads', current.world.weightStore.refusedLoads, word(line, 0)),
+  /** `expect newest-order e1 second`: target of the last order that an upstream accepted. */
   'newest-order': (current, line) =>
     compare(
       'newest order',
-      current.world.engines.get(word(line, 0))?.orders.taken.at(-1)?.target,
+      current.world.engines.get(word(line, 0))?.orderReceiver.accepted.at(-1)?.target,
       word(line, 1),
     ),
-  /** `expect stalled r1 below=50`: a slow caller's tokens wait at the engine, not at the entry. */
+  /** `expect stalled r1 below=50`: flow control keeps the tokens of a slow caller at the engine, not at the entry. */
   stalled: (current, line) => {
     const found = current.streams.get(word(line, 0));
     return (found?.tokens ?? 0) <= numberOption(line, 'below', 0)
       ? undefined
-      : `${found?.tokens ?? 0} tokens came`;
+      : `received ${found?.tokens ?? 0} tokens`;
   },
 };
 
-function votersOf(current: session.Session): number {
+function countRunningVoters(current: session.Session): number {
   const [leader = ''] = current.world.leaders();
   const members = current.world.controls.get(leader)?.node?.status().replica.members ?? [];
   const voters = new Set(
     members.filter((member) => member.role === 'voter').map((member) => member.identity),
   );
-  const running = [...current.world.controls.values()].filter((slot) => slot.host.isUp);
-  return running.filter((slot) => voters.has(slot.node?.status().replica.identity ?? '')).length;
+  const running = [...current.world.controls.values()].filter((replica) => replica.host.isUp);
+  return running.filter((replica) => voters.has(replica.node?.status().replica.identity ?? '')).length;
 }
 
-function isListed(current: session.Session, line: lineModule.Line): boolean {
-  const asked = lineModule.wordAfter(line, 'at') ?? 'entry-1';
-  const addresses = current.world.entries.get(asked)?.node?.addresses() ?? [];
+function isListed(current: session.Session, line: scenarioLine.Line): boolean {
+  const entryName = scenarioLine.wordAfter(line, 'at') ?? 'entry-1';
+  const addresses = current.world.entries.get(entryName)?.node?.addresses() ?? [];
   return addresses.some((address) => address.address === `http://${word(line, 0)}`);
 }
 
-function faultOf(current: session.Session, line: lineModule.Line): string | undefined {
+function mismatchOf(current: session.Session, line: scenarioLine.Line): string | undefined {
   const [what = '', ...words] = line.words;
   const expectation = expectations[what];
   if (expectation === undefined) {
-    throw new lineModule.ScenarioError(line, `there is no expectation "${what}"`);
+    throw new scenarioLine.ScenarioError(line, `unknown expectation "${what}"`);
   }
   return expectation(current, { ...line, words });
 }
 
 /**
- * Tells whether what a line expects holds now.
+ * Whether an expectation holds now.
  *
- * @param current - the session
- * @param line - a line whose words are those of an `expect` line
- * @returns true when it holds
+ * @param current - session of the scenario
+ * @param line - line with the words of an `expect` line
+ * @returns true when the expectation holds
  * @example
  * ```ts
  * expectations.holds(session, line);
  * ```
  */
-export function holds(current: session.Session, line: lineModule.Line): boolean {
-  return faultOf(current, line) === undefined;
+export function holds(current: session.Session, line: scenarioLine.Line): boolean {
+  return mismatchOf(current, line) === undefined;
 }
 
 /**
- * Checks an `expect` line.
+ * Checks an `expect` line; throws a `ScenarioError` when the expectation does not hold.
  *
- * @param current - the session
- * @param line - the line
+ * @param current - session of the scenario
+ * @param line - parsed line
  * @example
  * ```ts
  * expectations.check(session, line);
  * ```
  */
-export function check(current: session.Session, line: lineModule.Line): void {
-  const fault = faultOf(current, line);
-  if (fault !== undefined) {
-    throw new lineModule.ScenarioError(line, fault);
+export function check(current: session.Session, line: scenarioLine.Line): void {
+  const mismatch = mismatchOf(current, line);
+  if (mismatch !== undefined) {
+    throw new scenarioLine.ScenarioError(line, mismatch);
   }
 }
 
 /**
- * What must hold at the end of every scenario, whatever it was about.
+ * Checks the invariants that hold at the end of every scenario.
  *
- * @param current - the session
- * @returns what is wrong; empty when all is well
+ * @param current - session of the scenario
+ * @returns the violations; empty when all invariants hold
  * @example
  * ```ts
- * assert.deepEqual(expectations.broken(session), []);
+ * assert.deepEqual(expectations.findViolations(session), []);
  * ```
  */
-export function broken(current: session.Session): readonly string[] {
-  const faults: string[] = [];
+export function findViolations(current: session.Session): readonly string[] {
+  const violations: string[] = [];
   for (const found of current.streams.values()) {
-    faults.push(...found.faults.map((fault) => `${found.wish.name}: ${fault}`));
+    violations.push(...found.violations.map((violation) => `${found.request.name}: ${violation}`));
   }
   for (const [name, found] of current.calls) {
     if (found.key !== undefined) {
-      faults.push(...faultsOfAction(current, name, found));
+      violations.push(...callViolations(current, name, found));
     }
   }
   if (current.world.leaders().length > 1) {
-    faults.push(`there are ${current.world.leaders().length} leaders`);
+    violations.push(`${current.world.leaders().length} replicas lead at the same time`);
   }
-  return faults;
+  return violations;
 }
 
-function faultsOfAction(
+function callViolations(
   current: session.Session,
   name: string,
   found: session.CallRecord,
 ): readonly string[] {
-  const runs = current.runsOf(found.key ?? '');
+  const runs = current.runCountOf(found.key ?? '');
   const others = [...current.calls.values()].filter((other) => other.key === found.key && other !== found);
-  const toldNotRun = found.refusal?.kind === 'notRun';
-  const faults: string[] = [];
+  const wasRefusedAsNotRun = found.refusal?.kind === 'notRun';
+  const violations: string[] = [];
   if (runs > 1) {
-    faults.push(`${name} ran ${runs} times`);
+    violations.push(`${name} ran ${runs} times`);
   }
-  if (toldNotRun && runs > 0 && others.length === 0) {
-    faults.push(`${name} was told notRun and ran`);
+  if (wasRefusedAsNotRun && runs > 0 && others.length === 0) {
+    violations.push(`${name} was refused as notRun but ran`);
   }
   if (found.state === 'answered' && runs === 0) {
-    faults.push(`${name} was answered and never ran`);
+    violations.push(`${name} was answered but never ran`);
   }
-  return faults;
+  return violations;
 }
--- a/packages/scenarios/src/language/scenario.ts
+++ b/packages/scenarios/src/language/scenario.ts
@@ -1,47 +1,47 @@
 /**
- * Runs a scenario: the first lines set the world up, the others act and expect, in order.
+ * Runs a scenario: setup lines configure the simulated deployment, all other lines run in order.
  */
 import * as kumquatfront from 'kumquatfront';
 
 import * as actions from './actions.js';
 import * as expectations from './expectations.js';
-import * as lineModule from './line.js';
+import * as scenarioLine from './scenarioLine.js';
 import * as session from './session.js';
 
-/** What a run gives. */
+/** Result of a scenario run. */
 export interface ScenarioRun {
-  /** The whole session as text, for the golden file. */
-  readonly text: string;
-  /** The first thing that went against the scenario or a promise; undefined when all held. */
-  readonly fault: string | undefined;
+  /** Full text of the session, for the golden file. */
+  readonly output: string;
+  /** First failed expectation or invariant; undefined when the scenario passed. */
+  readonly failure: string | undefined;
 }
 
 const DEFAULT_SEED = 7;
 const DATA_CENTRES = 3;
 
-function names(prefix: string, count: number): readonly string[] {
+function numberedNames(prefix: string, count: number): readonly string[] {
   return Array.from({ length: count }, (_, position) => `${prefix}-${position + 1}`);
 }
 
-function centreOf(name: string): string {
+function dataCentreOf(name: string): string {
   const number = Number(/(\d+)$/.exec(name)?.[1] ?? 1);
   return `centre-${((number - 1) % DATA_CENTRES) + 1}`;
 }
 
-function countIn(lines: readonly lineModule.Line[], verb: string, fallback: number): number {
+function setupNumber(lines: readonly scenarioLine.Line[], verb: string, fallback: number): number {
   const line = lines.find((candidate) => candidate.verb === verb);
-  return line === undefined ? fallback : Number(lineModule.word(line, 0));
+  return line === undefined ? fallback : Number(scenarioLine.word(line, 0));
 }
 
-const SETUP: readonly string[] = ['control', 'entries', 'seed', 'settings'];
+const SETUP_VERBS: readonly string[] = ['control', 'entries', 'seed', 'settings'];
 
-function createSession(lines: readonly lineModule.Line[]): session.Session {
+function createSession(lines: readonly scenarioLine.Line[]): session.Session {
   const settings = lines.find((line) => line.verb === 'settings')?.options ?? {};
   return new session.Session({
-    seed: countIn(lines, 'seed', DEFAULT_SEED),
-    controlNames: names('control', countIn(lines, 'control', 3)),
-    entryNames: names('entry', countIn(lines, 'entries', 2)),
-    dataCentreOf: centreOf,
+    seed: setupNumber(lines, 'seed', DEFAULT_SEED),
+    controlNames: numberedNames('control', setupNumber(lines, 'control', 3)),
+    entryNames: numberedNames('entry', setupNumber(lines, 'entries', 2)),
+    dataCentreOf,
     network: { withinDataCentre: 0.5, betweenDataCentres: 1.5, loss: 0 },
     syncDelay: Number(settings.syncDelay ?? 1),
     control: {
@@ -62,7 +62,7 @@
   });
 }
 
-function runLine(current: session.Session, line: lineModule.Line): void {
+function runLine(current: session.Session, line: scenarioLine.Line): void {
   if (line.verb === 'expect') {
     expectations.check(current, line);
     current.lines.push(`          > ${line.text}: holds`);
@@ -70,7 +70,7 @@
   }
   const action = actions.actions[line.verb];
   if (action === undefined) {
-    throw new lineModule.ScenarioError(line, `there is no verb "${line.verb}"`);
+    throw new scenarioLine.ScenarioError(line, `unknown verb "${line.verb}"`);
   }
   current.lines.push(`          > ${line.text}`);
   action(current, line);
@@ -79,26 +79,26 @@
 /**
  * Runs a scenario.
  *
- * @param text - the scenario
- * @returns the session and what went wrong
+ * @param text - text of the scenario
+ * @returns output of the session and the first failure
  * @example
  * ```ts
- * const { text, fault } = scenario.run(fs.readFileSync('scenarios/drain.scenario', 'utf8'));
+ * const { output, failure } = scenario.run(fs.readFileSync('scenarios/drain.scenario', 'utf8'));
  * ```
  */
 export function run(text: string): ScenarioRun {
-  const lines = lineModule.parse(text);
+  const lines = scenarioLine.parse(text);
   const current = createSession(lines);
-  let fault: string | undefined;
+  let failure: string | undefined;
   try {
     for (const line of lines) {
-      if (!SETUP.includes(line.verb)) {
+      if (!SETUP_VERBS.includes(line.verb)) {
         runLine(current, line);
       }
     }
-    fault = expectations.broken(current)[0];
+    failure = expectations.findViolations(current)[0];
   } catch (error) {
-    fault = error instanceof Error ? error.message : String(error);
+    failure = error instanceof Error ? error.message : String(error);
   }
-  return { text: `${current.lines.join('\n')}\n`, fault };
+  return { output: `${current.lines.join('\n')}\n`, failure };
 }
--- a/packages/scenarios/src/language/line.ts
+++ b/packages/scenarios/src/language/scenarioLine.ts
@@ -1,8 +1,8 @@
 /**
- * One line of a scenario: a verb, plain words, and `name=value` options.
+ * Parser of scenario lines: a verb, words, and `name=value` options.
  */
 
-/** A parsed line. */
+/** Parsed line. */
 export interface Line {
   readonly number: number;
   readonly text: string;
@@ -11,7 +11,7 @@
   readonly options: Readonly<Record<string, string>>;
 }
 
-/** An error in a scenario, with the line at fault. */
+/** Error in a scenario, with the line that caused it. */
 export class ScenarioError extends Error {
   constructor(line: Line, message: string) {
     super(`line ${line.number}: ${line.text}: ${message}`);
@@ -20,13 +20,13 @@
 }
 
 /**
- * Parses the text of a scenario; `#` begins a comment.
+ * Parses the text of a scenario; `#` starts a comment.
  *
- * @param text - the scenario
- * @returns its lines
+ * @param text - text of the scenario
+ * @returns the lines
  * @example
  * ```ts
- * line.parse('engine e1 memory=4000\nadvance 2s');
+ * scenarioLine.parse('engine e1 memory=4000\nadvance 2s');
  * ```
  */
 export function parse(text: string): readonly Line[] {
@@ -54,33 +54,33 @@
 }
 
 /**
- * A word of a line.
+ * Returns a word of a line.
  *
- * @param line - the line
- * @param position - which word after the verb
+ * @param line - parsed line
+ * @param position - index of the word after the verb
  * @returns the word
  * @example
  * ```ts
- * const host = line.word(current, 0);
+ * const host = scenarioLine.word(current, 0);
  * ```
  */
 export function word(line: Line, position: number): string {
   const found = line.words[position];
   if (found === undefined) {
-    throw new ScenarioError(line, `word ${position + 1} is missing`);
+    throw new ScenarioError(line, `word ${position + 1} after the verb is missing`);
   }
   return found;
 }
 
 /**
- * The word after another, as in `at entry-1`.
+ * Returns the word that follows another, as in `at entry-1`.
  *
- * @param line - the line
- * @param before - the word before it
- * @returns the word; undefined where `before` does not occur
+ * @param line - parsed line
+ * @param before - preceding word
+ * @returns the word; undefined if `before` does not occur
  * @example
  * ```ts
- * const entry = line.wordAfter(current, 'at');
+ * const entry = scenarioLine.wordAfter(current, 'at');
  * ```
  */
 export function wordAfter(line: Line, before: string): string | undefined {
@@ -89,15 +89,15 @@
 }
 
 /**
- * A number option.
+ * Returns a numeric option.
  *
- * @param line - the line
- * @param name - the option
- * @param fallback - what holds where it is absent
+ * @param line - parsed line
+ * @param name - name of the option
+ * @param fallback - value if the option is absent
  * @returns the number
  * @example
  * ```ts
- * const memory = line.numberOption(current, 'memory', 6000);
+ * const memory = scenarioLine.numberOption(current, 'memory', 6000);
  * ```
  */
 export function numberOption(line: Line, name: string, fallback: number): number {
@@ -108,21 +108,21 @@
 const UNITS: Readonly<Record<string, number>> = { ms: 1, s: 1_000, m: 60_000, h: 3_600_000 };
 
 /**
- * A duration such as `500ms`, `2s` or `1h`.
+ * Parses a duration such as `500ms`, `2s` or `1h`.
  *
- * @param line - the line, for the message
- * @param text - the duration
+ * @param line - line for the error message
+ * @param text - text of the duration
  * @returns milliseconds
  * @example
  * ```ts
- * line.duration(current, '2s'); // 2000
+ * scenarioLine.parseDuration(current, '2s'); // 2000
  * ```
  */
-export function duration(line: Line, text: string): number {
+export function parseDuration(line: Line, text: string): number {
   const [, count = '', unit = ''] = /^(\d+)(ms|s|m|h)$/.exec(text) ?? [];
   const factor = UNITS[unit];
   if (factor === undefined) {
-    throw new ScenarioError(line, `"${text}" is no duration; write 500ms, 2s, 5m or 1h`);
+    throw new ScenarioError(line, `"${text}" is not a duration; use a form such as 500ms, 2s, 5m or 1h`);
   }
   return Number(count) * factor;
 }
--- a/packages/scenarios/src/language/session.ts
+++ b/packages/scenarios/src/language/session.ts
@@ -1,22 +1,22 @@
 /**
- * A session of a scenario: the world, and what its callers and operators are waiting for.
+ * Session of a scenario: the simulated deployment, and the requests of its callers and operators.
  */
 import * as kumquatfront from 'kumquatfront';
 
-import * as virtualCaller from '../world/virtualCaller.js';
+import * as virtualStream from '../world/virtualStream.js';
 import * as world from '../world/world.js';
 import * as baseConfiguration from './baseConfiguration.js';
 
-/** A call to a plain service and what came of it. */
+/** Call to a plain service and its outcome. */
 export interface CallRecord {
   readonly key: string | undefined;
   state: 'open' | 'answered' | 'refused' | 'lost';
   refusal?: kumquatfront.streamTypes.Refusal;
   body?: string;
-  repeated?: boolean;
+  replayed?: boolean;
 }
 
-/** An operator's change and what came of it. */
+/** Configuration change of an operator and its outcome. */
 export interface ChangeRecord {
   state: 'open' | 'accepted' | 'refused';
   version: number;
@@ -25,14 +25,14 @@
 
 const OPERATOR_LATENCY = 2;
 const CALLER_LATENCY = 2;
-const SETTLE_STEP = 50;
-const SETTLE_LIMIT = 20_000;
+const WAIT_STEP = 50;
+const WAIT_TIMEOUT = 20_000;
 
-/** The session; see the module comment. */
+/** Session of one scenario. */
 export class Session {
   readonly lines: string[] = [];
   readonly world: world.World;
-  readonly streams = new Map<string, virtualCaller.VirtualStream>();
+  readonly streams = new Map<string, virtualStream.VirtualStream>();
   readonly calls = new Map<string, CallRecord>();
   readonly changes = new Map<string, ChangeRecord>();
   private changeCount = 0;
@@ -46,26 +46,26 @@
     });
   }
 
-  /** Runs until a condition holds; fails the scenario where it never does. */
+  /** Advances the time until a condition holds; throws when the timeout expires. */
   waitUntil(what: string, holds: () => boolean): void {
-    for (let waited = 0; waited < SETTLE_LIMIT; waited += SETTLE_STEP) {
+    for (let waited = 0; waited < WAIT_TIMEOUT; waited += WAIT_STEP) {
       if (holds()) {
         return;
       }
-      this.world.time.advance(SETTLE_STEP);
+      this.world.time.advance(WAIT_STEP);
     }
-    throw new Error(`Waited ${SETTLE_LIMIT} ms in vain: ${what}.`);
+    throw new Error(`Timed out after ${WAIT_TIMEOUT} ms waiting until ${what}.`);
   }
 
-  /** Waits for a full set of voters, applies the base configuration and what is given, and waits until it is in force. */
-  configure(further: readonly kumquatfront.configurationTypes.ConfigurationDraft[] = []): void {
-    const wanted = this.world.controls.size;
+  /** Waits until all replicas vote, applies the base configuration and additional drafts, and waits until all are in force. */
+  configure(additionalDrafts: readonly kumquatfront.configurationTypes.ConfigurationDraft[] = []): void {
+    const replicaCount = this.world.controls.size;
     this.waitUntil('every control replica votes', () => {
       const [leader] = this.world.leaders();
       const status = this.world.controls.get(leader ?? '')?.node?.status();
-      return status?.replica.members.filter((member) => member.role === 'voter').length === wanted;
+      return status?.replica.members.filter((member) => member.role === 'voter').length === replicaCount;
     });
-    for (const [position, draft] of [...baseConfiguration.drafts, ...further].entries()) {
+    for (const [position, draft] of [...baseConfiguration.drafts, ...additionalDrafts].entries()) {
       const name = `base-${position}`;
       this.change(
         name,
@@ -77,25 +77,25 @@
         () => this.changes.get(name)?.state === 'accepted',
       );
     }
-    const version = Math.max(...[...this.changes.values()].map((change) => change.version));
+    const version = Math.max(...[...this.changes.values()].map((record) => record.version));
     this.waitUntil('the configuration is in force', () => this.inForce(version) === this.world.entries.size);
   }
 
-  /** Entries that have at least a version in force. */
+  /** Number of entries where a version or a later one is in force. */
   inForce(version: number): number {
     return [...this.world.entries.values()].filter(
-      (slot) => (slot.node?.services.find('configuration').inForce ?? -1) >= version,
+      (entry) => (entry.node?.services.find('configuration').inForce ?? -1) >= version,
     ).length;
   }
 
-  /** An operator's change, at a replica that passes it on to the leader it knows. */
+  /** Submits an operator's change to a replica, which forwards it to the leader it knows. */
   change(
     name: string,
     draft: kumquatfront.configurationTypes.ConfigurationDraft & {
       expectedVersion: number;
       changeId?: string;
     },
-    at: string,
+    replicaName: string,
   ): void {
     const record: ChangeRecord = { state: 'open', version: 0 };
     this.changes.set(name, record);
@@ -103,17 +103,17 @@
     const { kind, expectedVersion, body } = draft;
     const changeId = draft.changeId ?? `change-id-${this.changeCount}`;
     const command = { type: 'configure', changeId, kind, name: draft.name, expectedVersion, body } as const;
-    const slot = this.world.controls.get(at);
-    const life = slot?.host.currentLife;
+    const replica = this.world.controls.get(replicaName);
+    const incarnation = replica?.host.incarnation;
     this.world.time.after(OPERATOR_LATENCY, () => {
-      const leader = slot?.node?.services.find('replica').leader()?.address ?? at;
+      const leader = replica?.node?.services.find('replica').leader()?.address ?? replicaName;
       const target = this.world.controls.get(leader);
-      slot?.host.enter(slot.host.currentLife, () => {
-        this.world.net.deliver(at, leader, () => {
+      replica?.host.runInProcess(replica.host.incarnation, () => {
+        this.world.net.deliver(replicaName, leader, () => {
           target?.node?.configure(command, (result) => {
-            this.world.net.deliver(leader, at, () => {
-              // The operator's connection is to one life of one replica.
-              if (slot.host.currentLife === life) {
+            this.world.net.deliver(leader, replicaName, () => {
+              // A restart of the replica closes the operator's connection.
+              if (replica.host.incarnation === incarnation) {
                 this.finishChange(name, record, result);
               }
             });
@@ -140,39 +140,39 @@
     this.world.record(`operator: ${name} refused as ${record.failure?.kind ?? 'unknown'}`);
   }
 
-  /** A caller asks for a generation. */
-  stream(wish: virtualCaller.StreamWish, at: string): void {
-    const stream = new virtualCaller.VirtualStream(this.world.callerWorld(), wish);
-    this.streams.set(wish.name, stream);
-    stream.connect(at);
+  /** Starts the stream of a caller. */
+  stream(request: virtualStream.StreamRequest, entryName: string): void {
+    const stream = new virtualStream.VirtualStream(this.world.callerEnvironment(), request);
+    this.streams.set(request.name, stream);
+    stream.connect(entryName);
   }
 
-  /** A caller calls a plain service. */
-  call(
+  /** Calls a plain service. */
+  callService(
     name: string,
     method: 'GET' | 'POST',
     path: string,
     key: string | undefined,
     body: string,
-    at: string,
+    entryName: string,
   ): void {
     const record: CallRecord = { key, state: 'open' };
     this.calls.set(name, record);
-    const entry = this.world.entries.get(at);
+    const entry = this.world.entries.get(entryName);
     this.world.time.after(CALLER_LATENCY, () => {
       if (entry?.host.isUp !== true) {
         this.finishCall(name, record, 'lost', 'finds the entry closed');
         return;
       }
-      const life = entry.host.currentLife;
-      const later = (run: () => void): void => {
+      const incarnation = entry.host.incarnation;
+      const deliverLater = (run: () => void): void => {
         this.world.time.after(CALLER_LATENCY, () => {
-          if (record.state === 'open' && entry.host.currentLife === life) {
+          if (record.state === 'open' && entry.host.incarnation === incarnation) {
             run();
           }
         });
       };
-      entry.host.whenDead(() => {
+      entry.host.onExit(() => {
         this.world.time.after(CALLER_LATENCY, () => {
           if (record.state === 'open') {
             this.finishCall(name, record, 'lost', 'loses its connection');
@@ -189,12 +189,12 @@
         body,
         idempotencyKey: key,
       };
-      entry.host.enter(life, () => {
+      entry.host.runInProcess(incarnation, () => {
         entry.node?.requests.call(request, {
           answered: (answer, repeated) => {
-            later(() => {
+            deliverLater(() => {
               record.body = answer.body;
-              record.repeated = repeated;
+              record.replayed = repeated;
               this.finishCall(
                 name,
                 record,
@@ -204,7 +204,7 @@
             });
           },
           refused: (refusal) => {
-            later(() => {
+            deliverLater(() => {
               record.refusal = refusal;
               this.finishCall(name, record, 'refused', `is told ${refusal.kind}`);
             });
@@ -219,10 +219,10 @@
     this.world.record(`${name} ${text}`);
   }
 
-  /** How often a call ran, over all services. */
-  runsOf(keyOrPath: string): number {
+  /** Number of runs of a call over all services. */
+  runCountOf(keyOrPath: string): number {
     return [...this.world.services.values()].reduce(
-      (sum, service) => sum + (service.model.runs.get(keyOrPath) ?? 0),
+      (sum, service) => sum + (service.model.runCounts.get(keyOrPath) ?? 0),
       0,
     );
   }
--- a/packages/scenarios/src/scripts/prove.ts
+++ b/packages/scenarios/src/scripts/prove.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run prove`: takes each safeguard out of the built library, runs its scenario, and puts it back. Every
- * scenario must fail without its safeguard; one that still passes proves nothing and ends this with status 1.
+ * `npm run prove`: mutation test of the safeguards. Disables each safeguard in the built library, runs its scenario and
+ * restores the file; exits with status 1 if a scenario passes without its safeguard.
  */
 import * as childProcess from 'node:child_process';
 import * as fs from 'node:fs';
@@ -8,13 +8,13 @@
 import * as safeguards from './safeguards.js';
 import type * as types from './types.js';
 
-const LIBRARY = new URL('../../../kumquatfront/dist/', import.meta.url).pathname;
-const RUNNER = new URL('./runScenario.js', import.meta.url).pathname;
-const SOAK = new URL('./soak.js', import.meta.url).pathname;
-const RUN_LIMIT = 60_000;
+const LIBRARY_FOLDER = new URL('../../../kumquatfront/dist/', import.meta.url).pathname;
+const SCENARIO_RUNNER = new URL('./runScenario.js', import.meta.url).pathname;
+const SOAK_RUNNER = new URL('./soak.js', import.meta.url).pathname;
+const RUN_TIMEOUT = 60_000;
 
-interface Verdict {
-  readonly red: boolean;
+interface RunResult {
+  readonly failed: boolean;
   readonly detail: string;
 }
 
@@ -22,30 +22,33 @@
   const [kind, argument = ''] = scenario.split(':');
   switch (kind) {
     case 'soak':
-      return [SOAK, argument];
+      return [SOAK_RUNNER, argument];
     case 'spec':
-      return ['--test', '--test-reporter=spec', `${LIBRARY}${argument}.spec.js`];
+      return ['--test', '--test-reporter=spec', `${LIBRARY_FOLDER}${argument}.spec.js`];
     default:
-      return [RUNNER, scenario];
+      return [SCENARIO_RUNNER, scenario];
   }
 }
 
-function run(scenario: string): Verdict {
+function run(scenario: string): RunResult {
   const command = commandFor(scenario);
   const result = childProcess.spawnSync(process.execPath, command, {
     encoding: 'utf8',
-    timeout: RUN_LIMIT,
+    timeout: RUN_TIMEOUT,
   });
   const lines = result.stdout.trim().split('\n');
-  const failed = lines.find((line) => line.includes('✖')) ?? lines[0];
-  return { red: result.status !== 0, detail: failed?.trim() ?? '' };
+  const failureLine = lines.find((line) => line.includes('✖')) ?? lines[0];
+  return { failed: result.status !== 0, detail: failureLine?.trim() ?? '' };
 }
 
-function prove(safeguard: types.Safeguard): Verdict {
-  const file = LIBRARY + safeguard.file;
+function runWithoutSafeguard(safeguard: types.Safeguard): RunResult {
+  const file = LIBRARY_FOLDER + safeguard.file;
   const original = fs.readFileSync(file, 'utf8');
   if (original.split(safeguard.find).length !== 2) {
-    return { red: false, detail: `the text to take out does not stand exactly once in ${safeguard.file}` };
+    return {
+      failed: false,
+      detail: `the text of the safeguard does not occur exactly once in ${safeguard.file}`,
+    };
   }
   try {
     fs.writeFileSync(
@@ -58,22 +61,24 @@
   }
 }
 
-const wanted = process.argv.slice(2);
-let tried = 0;
-let unproved = 0;
+const selectedScenarios = process.argv.slice(2);
+let triedCount = 0;
+let unprovedCount = 0;
 for (const safeguard of safeguards.safeguards) {
-  if (wanted.length > 0 && !wanted.includes(safeguard.scenario)) {
+  if (selectedScenarios.length > 0 && !selectedScenarios.includes(safeguard.scenario)) {
     continue;
   }
-  tried += 1;
-  const whole = run(safeguard.scenario);
-  const without = prove(safeguard);
-  const proved = !whole.red && without.red;
-  unproved += proved ? 0 : 1;
-  process.stdout.write(`${proved ? 'proved  ' : 'UNPROVED'} ${safeguard.scenario}: ${safeguard.name}\n`);
+  triedCount += 1;
+  const baseline = run(safeguard.scenario);
+  const mutated = runWithoutSafeguard(safeguard);
+  const isProved = !baseline.failed && mutated.failed;
+  unprovedCount += isProved ? 0 : 1;
+  process.stdout.write(`${isProved ? 'proved  ' : 'UNPROVED'} ${safeguard.scenario}: ${safeguard.name}\n`);
   process.stdout.write(
-    `         without it: ${without.detail}${whole.red ? ` (and red with it: ${whole.detail})` : ''}\n`,
+    `         without it: ${mutated.detail}${baseline.failed ? ` (and fails with it: ${baseline.detail})` : ''}\n`,
   );
 }
-process.stdout.write(`${tried} of ${safeguards.safeguards.length} safeguards tried, ${unproved} unproved\n`);
-process.exitCode = unproved === 0 ? 0 : 1;
+process.stdout.write(
+  `${triedCount} of ${safeguards.safeguards.length} safeguards tried, ${unprovedCount} unproved\n`,
+);
+process.exitCode = unprovedCount === 0 ? 0 : 1;
--- a/packages/scenarios/src/scripts/safeguards.ts
+++ b/packages/scenarios/src/scripts/safeguards.ts
@@ -1,5 +1,5 @@
 /**
- * The safeguards that `npm run prove` takes out one at a time, each with the scenario that must then fail.
+ * Lists the safeguards that `npm run prove` disables one at a time, each with the scenario that must then fail.
  */
 
 import * as backPressureSafeguards from './backPressureSafeguards.js';
@@ -10,7 +10,7 @@
 import * as servingSafeguards from './servingSafeguards.js';
 import type * as types from './types.js';
 
-/** Every safeguard that `npm run prove` takes out. */
+/** All safeguards. */
 export const safeguards: readonly types.Safeguard[] = [
   ...servingSafeguards.servingSafeguards,
   ...controlSafeguards.controlSafeguards,
--- a/packages/scenarios/src/scripts/soakRun.ts
+++ b/packages/scenarios/src/scripts/soakRun.ts
@@ -1,15 +1,15 @@
 /**
- * One seeded run of random faults against control: changes, claims and orders from several clients while
- * replicas die, lose disks, freeze and are cut off. Afterwards everything heals and one history is checked.
+ * Soak run with a seed: submits changes and claims to control while replicas crash, lose disks, freeze and are cut off.
+ * All faults are then repaired, and the history and the state are checked for consistency.
  */
 import * as kumquatfront from 'kumquatfront';
 
 import * as session from '../language/session.js';
 
-/** What a run found. */
+/** Result of a soak run. */
 export interface SoakResult {
   readonly seed: number;
-  readonly faults: readonly string[];
+  readonly violations: readonly string[];
   readonly accepted: number;
   readonly claimsGranted: number;
   readonly events: readonly string[];
@@ -21,31 +21,31 @@
   readonly version: number;
 }
 
-const STEPS = 60;
-const STEP_LENGTH = 150;
-const HEAL_TIME = 20_000;
-const OBJECTS = 4;
-const KEYS = 6;
+const STEP_COUNT = 60;
+const STEP_DURATION = 150;
+const RECOVERY_DURATION = 20_000;
+const OBJECT_COUNT = 4;
+const KEY_COUNT = 6;
 
-/** Drives one run. */
-class Soak {
+/** One soak run. */
+class FaultRun {
   private readonly random: kumquatfront.ports.Random;
-  private readonly current: session.Session;
-  private readonly names: readonly string[];
+  private readonly session: session.Session;
+  private readonly controlNames: readonly string[];
   private readonly events: string[] = [];
-  private readonly grants = new Map<string, string[]>();
-  private readonly versions = new Map<string, number>();
+  private readonly grantedAttempts = new Map<string, string[]>();
+  private readonly knownVersions = new Map<string, number>();
   private readonly changeObjects = new Map<string, { object: string; expected: number }>();
-  private readonly inForceSeen = new Map<string, number>();
-  private readonly faults: string[] = [];
-  private count = 0;
+  private readonly lastVersionsInForce = new Map<string, number>();
+  private readonly violations: string[] = [];
+  private operationCount = 0;
 
   constructor(seed: number) {
     this.random = kumquatfront.seededRandom.create(seed * 7919 + 1);
-    this.names = ['control-1', 'control-2', 'control-3'];
-    this.current = new session.Session({
+    this.controlNames = ['control-1', 'control-2', 'control-3'];
+    this.session = new session.Session({
       seed,
-      controlNames: this.names,
+      controlNames: this.controlNames,
       entryNames: ['entry-1', 'entry-2'],
       dataCentreOf: (name) => name,
       network: { withinDataCentre: 0.5, betweenDataCentres: 1.5, loss: 0.02 },
@@ -61,7 +61,7 @@
         },
       },
     });
-    this.current.configure();
+    this.session.configure();
   }
 
   private pick<Value>(values: readonly Value[]): Value | undefined {
@@ -69,67 +69,71 @@
   }
 
   private isUp(name: string): boolean {
-    return this.current.world.hostOf(name).isUp;
+    return this.session.world.hostOf(name).isUp;
   }
 
-  private note(text: string): void {
-    this.events.push(`${this.current.world.time.now().toFixed(0)} ${text}`);
+  private recordEvent(text: string): void {
+    this.events.push(`${this.session.world.time.now().toFixed(0)} ${text}`);
   }
 
   /**
-   * True while every running replica votes under its present identity: a second disk may be lost right after
-   * a repair, but not before it, since two lost disks of three are more than any quorum can tolerate.
+   * Whether a replica other than the leader may lose its disk: only while every replica runs and votes under its current
+   * identity, since a quorum of three tolerates the loss of one disk.
    */
   private mayLoseDisk(name: string): boolean {
-    const { world } = this.current;
+    const { world } = this.session;
     const [leader] = world.leaders();
     const members = world.controls.get(leader ?? '')?.node?.status().replica.members ?? [];
     const voters = new Set(
       members.filter((member) => member.role === 'voter').map((member) => member.identity),
     );
-    const own = this.names.map((other) => world.controls.get(other)?.node?.status().replica.identity ?? '');
-    const repaired = members.length === this.names.length && own.every((identity) => voters.has(identity));
-    return repaired && leader !== name && this.names.every((other) => this.isUp(other));
+    const currentIdentities = this.controlNames.map(
+      (other) => world.controls.get(other)?.node?.status().replica.identity ?? '',
+    );
+    const isRepaired =
+      members.length === this.controlNames.length &&
+      currentIdentities.every((identity) => voters.has(identity));
+    return isRepaired && leader !== name && this.controlNames.every((other) => this.isUp(other));
   }
 
-  private fault(): void {
-    const { world } = this.current;
-    const name = this.pick(this.names) ?? '';
-    const dice = this.random.next();
-    if (dice < 0.25 && this.isUp(name)) {
-      const loses = this.random.next() < 0.3 && this.mayLoseDisk(name);
-      this.note(`kill ${name}${loses ? ' and lose its disk' : ''}`);
+  private injectFault(): void {
+    const { world } = this.session;
+    const name = this.pick(this.controlNames) ?? '';
+    const draw = this.random.next();
+    if (draw < 0.25 && this.isUp(name)) {
+      const losesDisk = this.random.next() < 0.3 && this.mayLoseDisk(name);
+      this.recordEvent(`kill ${name}${losesDisk ? ' and lose its disk' : ''}`);
       world.kill(name, this.random.next() < 0.5);
-      if (loses) {
-        world.controls.get(name)?.disk.lose();
+      if (losesDisk) {
+        world.controls.get(name)?.disk.erase();
       }
-    } else if (dice < 0.5 && !this.isUp(name)) {
-      this.note(`boot ${name}`);
+    } else if (draw < 0.5 && !this.isUp(name)) {
+      this.recordEvent(`boot ${name}`);
       world.boot(name);
-    } else if (dice < 0.62 && this.isUp(name)) {
-      this.note(`freeze ${name}`);
+    } else if (draw < 0.62 && this.isUp(name)) {
+      this.recordEvent(`freeze ${name}`);
       world.freeze(name);
-    } else if (dice < 0.74) {
-      this.note(`thaw ${name}`);
+    } else if (draw < 0.74) {
+      this.recordEvent(`thaw ${name}`);
       world.thaw(name);
-    } else if (dice < 0.84) {
-      const other = this.pick(this.names) ?? '';
-      this.note(`cut ${name} to ${other} one way`);
+    } else if (draw < 0.84) {
+      const other = this.pick(this.controlNames) ?? '';
+      this.recordEvent(`cut ${name} to ${other} one way`);
       world.net.cutOneWay(name, other);
-    } else if (dice < 0.94) {
-      this.note('heal');
+    } else if (draw < 0.94) {
+      this.recordEvent('heal');
       world.net.heal();
     } else {
-      this.note(`isolate ${name}`);
+      this.recordEvent(`isolate ${name}`);
       world.isolate(name);
     }
   }
 
-  private change(): void {
-    this.count += 1;
-    const name = `soak-${this.count}`;
-    const object = `object-${Math.floor(this.random.next() * OBJECTS)}`;
-    const expected = this.versions.get(object) ?? 0;
+  private submitChange(): void {
+    this.operationCount += 1;
+    const name = `soak-${this.operationCount}`;
+    const object = `object-${Math.floor(this.random.next() * OBJECT_COUNT)}`;
+    const expected = this.knownVersions.get(object) ?? 0;
     const body = { labels: { region: name } };
     const draft = {
       kind: 'market' as const,
@@ -139,14 +143,14 @@
       changeId: `id-${name}`,
     };
     this.changeObjects.set(name, { object, expected });
-    this.current.change(name, draft, this.pick(this.names) ?? '');
+    this.session.change(name, draft, this.pick(this.controlNames) ?? '');
   }
 
-  /** Claims one of a few keys at some replica, as an entry would: the same attempt may ask several replicas. */
-  private claim(): void {
-    this.count += 1;
-    const attempt = `attempt-${this.count}`;
-    const key = `key-${Math.floor(this.random.next() * KEYS)}`;
+  /** Claims a random key with the same attempt at every running replica, like an entry that retries at other replicas. */
+  private proposeClaim(): void {
+    this.operationCount += 1;
+    const attempt = `attempt-${this.operationCount}`;
+    const key = `key-${Math.floor(this.random.next() * KEY_COUNT)}`;
     const command = {
       type: 'claim',
       account: 'canteen',
@@ -155,64 +159,69 @@
       holder: 'entry',
       attempt,
     } as const;
-    for (const name of this.names) {
-      const { node, host } = this.current.world.controls.get(name) ?? {};
+    for (const name of this.controlNames) {
+      const { node, host } = this.session.world.controls.get(name) ?? {};
       if (node === undefined || host?.isUp !== true || host.isFrozen) {
         continue;
       }
       node.services.find('replica').propose(command, (result) => {
         if (result.ok && (result.val as kumquatfront.agreedTypes.ClaimAnswer).state === 'granted') {
-          this.grants.set(key, [...new Set([...(this.grants.get(key) ?? []), attempt])]);
+          this.grantedAttempts.set(key, [...new Set([...(this.grantedAttempts.get(key) ?? []), attempt])]);
         }
       });
     }
   }
 
-  private learnVersions(): void {
+  private updateKnownVersions(): void {
     for (const [name, change] of this.changeObjects) {
-      const record = this.current.changes.get(name);
-      // A refused operator is told the version that won, and goes on from there.
-      const winner = record?.state === 'accepted' ? record.version : record?.failure?.detail?.version;
-      if (typeof winner === 'number') {
-        this.versions.set(change.object, Math.max(this.versions.get(change.object) ?? 0, winner));
+      const record = this.session.changes.get(name);
+      // A conflict reports the current version; the next change expects that version.
+      const winningVersion = record?.state === 'accepted' ? record.version : record?.failure?.detail?.version;
+      if (typeof winningVersion === 'number') {
+        this.knownVersions.set(
+          change.object,
+          Math.max(this.knownVersions.get(change.object) ?? 0, winningVersion),
+        );
       }
     }
   }
 
-  /** What must hold at every moment. */
-  private watch(): void {
-    const { world } = this.current;
+  /** Checks the invariants that hold at all times. */
+  private checkInvariants(): void {
+    const { world } = this.session;
     if (world.leaders().length > 1) {
-      this.faults.push(`two leaders at ${world.time.now()}: ${world.leaders().join(', ')}`);
+      this.violations.push(`two leaders at ${world.time.now()}: ${world.leaders().join(', ')}`);
     }
-    for (const [name, slot] of world.entries) {
-      const version = slot.node?.services.find('configuration').inForce ?? -1;
-      if (version < (this.inForceSeen.get(name) ?? -1)) {
-        this.faults.push(`${name} went back from ${this.inForceSeen.get(name) ?? -1} to ${version}`);
+    for (const [name, entry] of world.entries) {
+      const version = entry.node?.services.find('configuration').inForce ?? -1;
+      if (version < (this.lastVersionsInForce.get(name) ?? -1)) {
+        this.violations.push(
+          `${name}: version in force went back from ${this.lastVersionsInForce.get(name) ?? -1} to ${version}`,
+        );
       }
-      this.inForceSeen.set(name, version);
+      this.lastVersionsInForce.set(name, version);
     }
   }
 
-  private heal(): void {
-    const { world } = this.current;
+  private recover(): void {
+    const { world } = this.session;
     world.net.heal();
-    for (const name of this.names) {
+    for (const name of this.controlNames) {
       if (!this.isUp(name)) {
         world.boot(name);
       }
       world.thaw(name);
     }
-    for (let waited = 0; waited < HEAL_TIME; waited += STEP_LENGTH) {
-      world.time.advance(STEP_LENGTH);
-      this.watch();
+    for (let waited = 0; waited < RECOVERY_DURATION; waited += STEP_DURATION) {
+      world.time.advance(STEP_DURATION);
+      this.checkInvariants();
     }
   }
 
   private checkHistory(): readonly AcceptedChange[] {
     const accepted: AcceptedChange[] = [];
     for (const [name, { object }] of this.changeObjects) {
-      const record = this.current.changes.get(name);
+      const record = this.session.changes.get(name);
       if (record?.state === 'accepted') {
         accepted.push({ name, object, version: record.version });
       }
@@ -220,79 +229,79 @@
     const winners = new Map<string, string>();
     for (const change of accepted) {
       const expected = this.changeObjects.get(change.name)?.expected ?? 0;
-      const race = `${change.object} on version ${expected}`;
-      if (winners.has(race)) {
-        this.faults.push(`two winners of ${race}: ${winners.get(race) ?? ''} and ${change.name}`);
+      const contest = `${change.object} on version ${expected}`;
+      if (winners.has(contest)) {
+        this.violations.push(`two winners of ${contest}: ${winners.get(contest) ?? ''} and ${change.name}`);
       }
-      winners.set(race, change.name);
+      winners.set(contest, change.name);
     }
-    this.checkState(accepted);
+    this.checkFinalState(accepted);
     return accepted;
   }
 
-  private checkState(accepted: readonly AcceptedChange[]): void {
-    const { world } = this.current;
-    const statuses = [...world.controls.values()].map((slot) => slot.node?.status());
+  private checkFinalState(accepted: readonly AcceptedChange[]): void {
+    const { world } = this.session;
+    const statuses = [...world.controls.values()].map((replica) => replica.node?.status());
     if (new Set(statuses.map((status) => status?.digest)).size !== 1) {
-      this.faults.push('replicas differ after everything healed');
+      this.violations.push('state digests of replicas differ after recovery');
     }
     const voters = statuses[0]?.replica.members.filter((member) => member.role === 'voter').length;
-    if (world.leaders().length !== 1 || voters !== this.names.length) {
-      this.faults.push(`after everything healed: ${world.leaders().length} leaders, ${voters ?? 0} voters`);
+    if (world.leaders().length !== 1 || voters !== this.controlNames.length) {
+      this.violations.push(`after recovery: ${world.leaders().length} leaders, ${voters ?? 0} voters`);
     }
     const [leader] = world.leaders();
     const state = world.controls.get(leader ?? '')?.node?.services.find('state');
     for (const change of accepted) {
       const version = state?.objectOf('market', change.object)?.version ?? 0;
       if (version < change.version) {
-        this.faults.push(
+        this.violations.push(
           `${change.name} was accepted as ${change.version}; ${change.object} is at ${version}`,
         );
       }
     }
-    if (this.current.inForce(state?.configurationVersion ?? 0) !== world.entries.size) {
-      this.faults.push('the newest version is not in force everywhere');
+    if (this.session.inForce(state?.configurationVersion ?? 0) !== world.entries.size) {
+      this.violations.push('the newest version is not in force at all entries');
     }
-    for (const [key, attempts] of this.grants) {
+    for (const [key, attempts] of this.grantedAttempts) {
       if (attempts.length > 1) {
-        this.faults.push(`${key} was granted to ${attempts.join(' and ')}`);
+        this.violations.push(`${key} was granted to ${attempts.join(' and ')}`);
       }
     }
   }
 
   run(seed: number): SoakResult {
-    for (let step = 0; step < STEPS; step += 1) {
-      this.learnVersions();
-      this.change();
-      this.claim();
+    for (let step = 0; step < STEP_COUNT; step += 1) {
+      this.updateKnownVersions();
+      this.submitChange();
+      this.proposeClaim();
       if (this.random.next() < 0.35) {
-        this.fault();
+        this.injectFault();
       }
-      this.current.world.time.advance(STEP_LENGTH);
-      this.watch();
+      this.session.world.time.advance(STEP_DURATION);
+      this.checkInvariants();
     }
-    this.heal();
+    this.recover();
     const accepted = this.checkHistory();
-    const { faults, events } = this;
-    return { seed, faults, accepted: accepted.length, claimsGranted: this.grants.size, events };
+    const { violations, events } = this;
+    return { seed, violations, accepted: accepted.length, claimsGranted: this.grantedAttempts.size, events };
   }
 }
 
 /**
- * Runs one seed.
+ * Runs the soak test with one seed.
  *
- * @param seed - a whole number
- * @returns what was found
+ * @param seed - integer seed
+ * @returns the result
  * @example
  * ```ts
- * assert.deepEqual(soakRun.run(7).faults, []);
+ * assert.deepEqual(soakRun.run(7).violations, []);
  * ```
  */
 export function run(seed: number): SoakResult {
   try {
-    return new Soak(seed).run(seed);
+    return new FaultRun(seed).run(seed);
   } catch (error) {
-    const fault = error instanceof Error ? (error.stack ?? error.message) : String(error);
-    return { seed, faults: [fault], accepted: 0, claimsGranted: 0, events: [] };
+    const message = error instanceof Error ? (error.stack ?? error.message) : String(error);
+    return { seed, violations: [message], accepted: 0, claimsGranted: 0, events: [] };
   }
 }
--- a/packages/scenarios/src/scripts/types.ts
+++ b/packages/scenarios/src/scripts/types.ts
@@ -1,13 +1,13 @@
 /**
- * What the lists of safeguards are made of.
+ * Types of the safeguard lists.
  */
-/** One safeguard: replacing `find` by `replace` in a built file of the library takes it out. */
+/** A safeguard in the code of the library. Replacing `find` by `replace` in the built file disables it. */
 export interface Safeguard {
   readonly name: string;
-  /** File below the library's `dist`. */
+  /** File relative to the `dist` folder of the library. */
   readonly file: string;
   readonly find: string;
   readonly replace: string;
-  /** Name of a scenario, `soak:COUNT` for so many runs of random faults, or `spec:FILE`. */
+  /** What must fail without the safeguard: name of a scenario, `soak:COUNT` for that many soak runs, or `spec:FILE`. */
   readonly scenario: string;
 }
--- a/packages/scenarios/src/soak.spec.ts
+++ b/packages/scenarios/src/soak.spec.ts
@@ -1,5 +1,5 @@
 /**
- * A small fixed set of the random fault runs; `npm run soak` runs a thousand.
+ * Soak test with a few fixed seeds; `npm run soak` runs many more.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -13,7 +13,7 @@
     `random faults with seed ${seed}: nothing accepted is lost, no claim is granted twice`,
     () => {
       const result = soakRun.run(seed);
-      assert.deepEqual(result.faults, []);
+      assert.deepEqual(result.violations, []);
       assert.ok(result.accepted > 0);
     },
   );
--- a/packages/scenarios/src/world/host.ts
+++ b/packages/scenarios/src/world/host.ts
@@ -1,19 +1,19 @@
 /**
- * A VM with one process: it can be killed, started again, frozen and thawed. What the process scheduled
- * before it was killed never runs; what falls due while it is frozen runs when it thaws.
+ * Simulates a VM that runs one process, which can be killed, restarted, frozen and thawed. Timers of a killed process
+ * never fire; timers that expire while it is frozen fire when it thaws.
  */
 import type * as kumquatfront from 'kumquatfront';
 
-/** One host. */
+/** Simulated host. */
 export class Host {
   readonly name: string;
   readonly dataCentre: string;
   private readonly time: kumquatfront.virtualTime.VirtualTime;
-  private life = 0;
+  private currentIncarnation = 0;
   private up = false;
   private frozen = false;
-  private held: (() => void)[] = [];
-  private readonly onDeath: (() => void)[] = [];
+  private deferredCalls: (() => void)[] = [];
+  private readonly exitListeners: (() => void)[] = [];
 
   constructor(name: string, dataCentre: string, time: kumquatfront.virtualTime.VirtualTime) {
     this.name = name;
@@ -29,23 +29,23 @@
     return this.frozen;
   }
 
-  /** Number of the present life; work of a former one is dropped. */
-  get currentLife(): number {
-    return this.life;
+  /** Incarnation of the process; work scheduled by an earlier incarnation is discarded. */
+  get incarnation(): number {
+    return this.currentIncarnation;
   }
 
   boot(): void {
-    this.life += 1;
+    this.currentIncarnation += 1;
     this.up = true;
     this.frozen = false;
-    this.held = [];
+    this.deferredCalls = [];
   }
 
   kill(): void {
     this.up = false;
-    this.life += 1;
-    this.held = [];
-    const listeners = this.onDeath.splice(0);
+    this.currentIncarnation += 1;
+    this.deferredCalls = [];
+    const listeners = this.exitListeners.splice(0);
     for (const listener of listeners) {
       listener();
     }
@@ -57,39 +57,39 @@
 
   thaw(): void {
     this.frozen = false;
-    const { held } = this;
-    this.held = [];
-    for (const run of held) {
+    const { deferredCalls } = this;
+    this.deferredCalls = [];
+    for (const run of deferredCalls) {
       run();
     }
   }
 
-  /** Calls back once, when the present life ends. */
-  whenDead(listener: () => void): void {
-    this.onDeath.push(listener);
+  /** Registers a listener that is called once, when the current process is killed. */
+  onExit(listener: () => void): void {
+    this.exitListeners.push(listener);
   }
 
-  /** Runs something in the process now, when it thaws, or never if its life ended. */
-  enter(life: number, run: () => void): void {
-    if (!this.up || life !== this.life) {
+  /** Runs a callback in the process: now, once it thaws, or never if that incarnation has ended. */
+  runInProcess(incarnation: number, run: () => void): void {
+    if (!this.up || incarnation !== this.currentIncarnation) {
       return;
     }
     if (this.frozen) {
-      this.held.push(() => {
-        this.enter(life, run);
+      this.deferredCalls.push(() => {
+        this.runInProcess(incarnation, run);
       });
       return;
     }
     run();
   }
 
-  /** Timers of the present life. */
+  /** Creates the scheduler of the current incarnation. */
   scheduler(): kumquatfront.ports.Scheduler {
-    const { life } = this;
+    const { currentIncarnation } = this;
     return {
       after: (delay, run) =>
         this.time.after(delay, () => {
-          this.enter(life, run);
+          this.runInProcess(currentIncarnation, run);
         }),
     };
   }
--- a/packages/scenarios/src/world/memoryDisk.ts
+++ b/packages/scenarios/src/world/memoryDisk.ts
@@ -1,5 +1,5 @@
 /**
- * A disk in memory that forgets what was not synced, can tear the last write and can flip a bit.
+ * In-memory disk for fault injection: a crash discards unsynced writes and can leave a torn one; bits can be flipped.
  */
 import type * as kumquatfront from 'kumquatfront';
 
@@ -7,21 +7,21 @@
   | { readonly type: 'append'; readonly file: string; readonly bytes: Uint8Array }
   | { readonly type: 'replace'; readonly file: string; readonly bytes: Uint8Array };
 
-/** One data folder, which outlives the process. */
+/** Data folder of one host; it survives crashes of the process. */
 export class MemoryDisk {
   private readonly syncDelay: number;
   private durable = new Map<string, Uint8Array>();
   private pending: Operation[] = [];
-  syncs = 0;
+  syncCount = 0;
 
   /**
-   * @param syncDelay - milliseconds a sync takes
+   * @param syncDelay - duration of a sync in milliseconds
    */
   constructor(syncDelay: number) {
     this.syncDelay = syncDelay;
   }
 
-  /** The disk as one life of the process sees it. */
+  /** Creates the disk port of one incarnation of the process. */
   portFor(scheduler: kumquatfront.ports.Scheduler): kumquatfront.ports.Disk {
     return {
       read: (file) => this.durable.get(file),
@@ -29,54 +29,54 @@
         this.pending.push({ type: 'append', file, bytes });
       },
       sync: (_file, done) => {
-        this.flushLater(scheduler, done);
+        this.scheduleFlush(scheduler, done);
       },
       replace: (file, bytes, done) => {
         this.pending.push({ type: 'replace', file, bytes });
-        this.flushLater(scheduler, done);
+        this.scheduleFlush(scheduler, done);
       },
     };
   }
 
-  private flushLater(scheduler: kumquatfront.ports.Scheduler, done: () => void): void {
-    const upTo = this.pending.length;
-    const wanted = this.pending.slice(0, upTo);
+  private scheduleFlush(scheduler: kumquatfront.ports.Scheduler, done: () => void): void {
+    const pendingCount = this.pending.length;
+    const flushed = this.pending.slice(0, pendingCount);
     scheduler.after(this.syncDelay, () => {
-      for (const operation of wanted) {
+      for (const operation of flushed) {
         const position = this.pending.indexOf(operation);
         if (position >= 0) {
           this.pending.splice(position, 1);
-          this.perform(operation);
+          this.applyOperation(operation);
         }
       }
-      this.syncs += 1;
+      this.syncCount += 1;
       done();
     });
   }
 
-  private perform(operation: Operation): void {
-    const before =
+  private applyOperation(operation: Operation): void {
+    const previous =
       operation.type === 'append' ? (this.durable.get(operation.file) ?? new Uint8Array()) : new Uint8Array();
-    this.durable.set(operation.file, Buffer.concat([before, operation.bytes]));
+    this.durable.set(operation.file, Buffer.concat([previous, operation.bytes]));
   }
 
-  /** What a crash does: unsynced writes are gone; a torn one leaves a part of itself. */
+  /** Discards unsynced writes; with `torn`, half of the first one reaches the disk. */
   crash(torn: boolean): void {
     const [first] = this.pending;
     if (torn && first?.type === 'append') {
       const part = first.bytes.subarray(0, Math.ceil(first.bytes.length / 2));
-      this.perform({ ...first, bytes: part });
+      this.applyOperation({ ...first, bytes: part });
     }
     this.pending = [];
   }
 
-  /** The folder is emptied. */
-  lose(): void {
+  /** Deletes all data. */
+  erase(): void {
     this.durable = new Map();
     this.pending = [];
   }
 
-  /** A bit in the middle of a file flips. */
+  /** Flips a bit in the middle of a file. */
   flipBit(file: string): void {
     const bytes = this.durable.get(file);
     if (bytes !== undefined && bytes.length > 0) {
--- a/packages/scenarios/src/world/network.ts
+++ b/packages/scenarios/src/world/network.ts
@@ -1,32 +1,32 @@
 /**
- * Links between hosts: a latency for each pair, cuts in one or both directions, and loss.
+ * Simulated network: latency for each pair of hosts, cut links in one or both directions, and message loss.
  */
 import * as kumquatfront from 'kumquatfront';
 
 import type * as host from './host.js';
 
-/** Latencies one way, in milliseconds. */
+/** Latencies are one-way, in milliseconds. */
 export interface NetworkOptions {
   readonly withinDataCentre: number;
   readonly betweenDataCentres: number;
-  /** Share of one-way messages that get lost. */
+  /** Share of notifications that are lost. */
   readonly loss: number;
 }
 
-/** What a delivery meets. */
-export type DeliveryOutcome = 'delivered' | 'cut' | 'dead';
+/** Result of a delivery; `hostDown` when no process runs at the target. */
+export type DeliveryOutcome = 'delivered' | 'cut' | 'hostDown';
 
-/** The network; see the module comment. */
+/** Simulated network. */
 export class Network {
   readonly hosts = new Map<string, host.Host>();
-  /** JSON characters sent by each host, where counting is on. */
+  /** Messages and JSON characters sent by each host; recorded only with `countBytes`. */
   readonly sent = new Map<string, { messages: number; bytes: number }>();
   countBytes = false;
   private readonly time: kumquatfront.virtualTime.VirtualTime;
   private readonly random: kumquatfront.ports.Random;
   private readonly options: NetworkOptions;
-  private readonly lags = new Map<string, number>();
-  private readonly cuts = new Set<string>();
+  private readonly latencyOverrides = new Map<string, number>();
+  private readonly cutLinks = new Set<string>();
   private readonly handlers = new Map<string, Map<string, kumquatfront.ports.PeerHandler>>();
 
   constructor(
@@ -39,23 +39,23 @@
     this.options = options;
   }
 
-  /** Makes a link slow in one direction. */
-  lag(from: string, to: string, latency: number): void {
-    this.lags.set(`${from}>${to}`, latency);
+  /** Overrides the latency of a link in one direction. */
+  setLatency(from: string, to: string, latency: number): void {
+    this.latencyOverrides.set(`${from}>${to}`, latency);
   }
 
   latency(from: string, to: string): number {
-    const lagging = this.lags.get(`${from}>${to}`);
-    if (lagging !== undefined) {
-      return lagging;
+    const override = this.latencyOverrides.get(`${from}>${to}`);
+    if (override !== undefined) {
+      return override;
     }
-    const same = this.hosts.get(from)?.dataCentre === this.hosts.get(to)?.dataCentre;
-    return same ? this.options.withinDataCentre : this.options.betweenDataCentres;
+    const isSameDataCentre = this.hosts.get(from)?.dataCentre === this.hosts.get(to)?.dataCentre;
+    return isSameDataCentre ? this.options.withinDataCentre : this.options.betweenDataCentres;
   }
 
   /** Cuts the link in one direction. */
   cutOneWay(from: string, to: string): void {
-    this.cuts.add(`${from}>${to}`);
+    this.cutLinks.add(`${from}>${to}`);
   }
 
   cut(left: string, right: string): void {
@@ -64,14 +64,14 @@
   }
 
   heal(): void {
-    this.cuts.clear();
+    this.cutLinks.clear();
   }
 
   isCut(from: string, to: string): boolean {
-    return this.cuts.has(`${from}>${to}`);
+    return this.cutLinks.has(`${from}>${to}`);
   }
 
-  /** Runs something at another host after the latency; `done` tells what the delivery met there. */
+  /** Runs a callback at another host after the latency and reports the outcome to `done`. */
   deliver(
     from: string,
     to: string,
@@ -87,15 +87,15 @@
       if (this.isCut(from, to)) {
         done('cut');
       } else if (target?.isUp !== true) {
-        done('dead');
+        done('hostDown');
       } else {
-        target.enter(target.currentLife, run);
+        target.runInProcess(target.incarnation, run);
         done('delivered');
       }
     });
   }
 
-  private count(from: string, method: string, parameters: unknown): void {
+  private recordSent(from: string, method: string, parameters: unknown): void {
     if (this.countBytes) {
       const counter = this.sent.get(from) ?? { messages: 0, bytes: 0 };
       this.sent.set(from, counter);
@@ -104,18 +104,18 @@
     }
   }
 
-  /** The transport of the present life of a host. */
-  transportOf(own: host.Host): kumquatfront.ports.PeerTransport {
-    const { name } = own;
-    const life = own.currentLife;
-    const served = new Map<string, kumquatfront.ports.PeerHandler>();
-    this.handlers.set(name, served);
+  /** Creates the transport of the current incarnation of a host. */
+  transportOf(localHost: host.Host): kumquatfront.ports.PeerTransport {
+    const { name } = localHost;
+    const incarnation = localHost.incarnation;
+    const hostHandlers = new Map<string, kumquatfront.ports.PeerHandler>();
+    this.handlers.set(name, hostHandlers);
     return {
       serve: (method, handler) => {
-        served.set(method, handler);
+        hostHandlers.set(method, handler);
       },
       notify: (address, method, parameters) => {
-        this.count(name, method, parameters);
+        this.recordSent(name, method, parameters);
         if (this.random.next() >= this.options.loss) {
           const copy = clone(parameters);
           this.deliver(name, address, () => {
@@ -124,23 +124,28 @@
         }
       },
       request: (address, method, parameters, timeout, done) => {
-        this.count(name, method, parameters);
-        this.request(own, life, { address, method, parameters: clone(parameters), timeout }, done);
+        this.recordSent(name, method, parameters);
+        this.request(
+          localHost,
+          incarnation,
+          { address, method, parameters: clone(parameters), timeout },
+          done,
+        );
       },
     };
   }
 
   private request(
-    own: host.Host,
-    life: number,
+    localHost: host.Host,
+    incarnation: number,
     call: { address: string; method: string; parameters: unknown; timeout: number },
     done: kumquatfront.ports.Reply,
   ): void {
-    let open = true;
-    const finish: kumquatfront.ports.Reply = (result) => {
-      own.enter(life, () => {
-        if (open) {
-          open = false;
+    let isPending = true;
+    const complete: kumquatfront.ports.Reply = (result) => {
+      localHost.runInProcess(incarnation, () => {
+        if (isPending) {
+          isPending = false;
           cancel();
           done(result);
         }
@@ -148,24 +153,30 @@
     };
     const { address, method, parameters, timeout } = call;
     const cancel = this.time.after(timeout, () => {
-      finish(kumquatfront.results.Err(kumquatfront.failures.create('timeout', 'No answer.', 'Ask again.')));
+      complete(
+        kumquatfront.results.Err(
+          kumquatfront.failures.create('timeout', 'No response within the timeout.', 'Retry the request.'),
+        ),
+      );
     });
     this.deliver(
-      own.name,
+      localHost.name,
       address,
       () => {
-        const answer: kumquatfront.ports.Reply = (result) => {
-          this.count(address, 'answer', result.val);
-          this.deliver(address, own.name, () => {
-            finish(cloneResult(result));
+        const respond: kumquatfront.ports.Reply = (result) => {
+          this.recordSent(address, 'answer', result.val);
+          this.deliver(address, localHost.name, () => {
+            complete(cloneResult(result));
           });
         };
-        this.handlers.get(address)?.get(method)?.(parameters, answer);
+        this.handlers.get(address)?.get(method)?.(parameters, respond);
       },
       (outcome) => {
-        if (outcome === 'dead') {
-          finish(
-            kumquatfront.results.Err(kumquatfront.failures.create('unreachable', 'Refused.', 'Ask another.')),
+        if (outcome === 'hostDown') {
+          complete(
+            kumquatfront.results.Err(
+              kumquatfront.failures.create('unreachable', 'Connection refused.', 'Retry at another replica.'),
+            ),
           );
         }
       },
--- a/packages/scenarios/src/world/virtualUpstreams.ts
+++ b/packages/scenarios/src/world/virtualUpstreams.ts
@@ -1,6 +1,6 @@
 /**
- * Engines and plain services on the virtual network: connections that hang when a link is cut, break when a
- * process dies, and stay silent when it is frozen.
+ * Simulated engines and plain services on the virtual network. Their connections stall when a link is cut, break when
+ * a process is killed, and are idle while it is frozen.
  */
 import type * as kumquatfront from 'kumquatfront';
 import * as standIns from 'kumquatfront-stand-ins';
@@ -8,20 +8,20 @@
 import type * as host from './host.js';
 import type * as network from './network.js';
 
-/** An engine with the host it runs on; its address is the host's name. */
+/** Simulated engine and its host; the address contains the name of the host. */
 export interface VirtualEngine {
   readonly host: host.Host;
   model: standIns.engineModel.EngineModel;
-  readonly orders: standIns.orderBook.OrderBook;
-  /** Called with every generation that begins. */
-  readonly onStart: (order: standIns.engineTypes.EngineOrder) => void;
+  readonly orderReceiver: standIns.orderReceiver.OrderReceiver;
+  /** Called for every generation that starts. */
+  readonly onStart: (order: standIns.engineTypes.EngineRequest) => void;
 }
 
-/** A service with the host it runs on. */
+/** Simulated service and its host. */
 export interface VirtualService {
   readonly host: host.Host;
   readonly model: standIns.serviceModel.ServiceModel;
-  /** Milliseconds a call takes. */
+  /** Duration of a call in milliseconds. */
   delay: number;
 }
 
@@ -31,79 +31,82 @@
   return target.address.slice(ADDRESS_PREFIX.length);
 }
 
-/** One connection between an entry and an engine. */
-class Connection implements kumquatfront.streamTypes.GenerationConnection, standIns.engineTypes.EngineReader {
-  private readonly net: network.Network;
-  private readonly own: host.Host;
-  private readonly life: number;
+/** Connection between an entry and an engine. */
+class EngineConnection
+  implements kumquatfront.streamTypes.GenerationConnection, standIns.engineTypes.EngineReader
+{
+  private readonly network: network.Network;
+  private readonly entryHost: host.Host;
+  private readonly entryIncarnation: number;
   private readonly engine: VirtualEngine;
   private readonly generation: string;
   private readonly listener: kumquatfront.streamTypes.GenerationListener;
   private closed = false;
-  /** Set once something was lost on the way: TCP delivers nothing behind a gap. */
-  private hung = false;
+  /** Set once a message was lost: TCP delivers nothing after a gap. */
+  private stalled = false;
 
   constructor(
-    net: network.Network,
-    own: host.Host,
+    network: network.Network,
+    entryHost: host.Host,
     engine: VirtualEngine,
     generation: string,
     listener: kumquatfront.streamTypes.GenerationListener,
   ) {
-    this.net = net;
-    this.own = own;
-    this.life = own.currentLife;
+    this.network = network;
+    this.entryHost = entryHost;
+    this.entryIncarnation = entryHost.incarnation;
     this.engine = engine;
     this.generation = generation;
     this.listener = listener;
-    own.whenDead(() => {
+    entryHost.onExit(() => {
       this.engine.model.detach(this.generation, this);
     });
-    engine.host.whenDead(() => {
-      this.toEntry(() => {
+    engine.host.onExit(() => {
+      this.deliverToEntry(() => {
         this.fail('broken');
       });
     });
   }
 
-  /** Sends the first request of the connection; `run` acts at the engine. */
+  /** Sends the initial request of the connection; `run` executes at the engine. */
   open(run: () => void): void {
     const { name } = this.engine.host;
-    this.net.deliver(this.own.name, name, run, (outcome) => {
-      if (outcome === 'dead') {
-        this.own.enter(this.life, () => {
+    this.network.deliver(this.entryHost.name, name, run, (outcome) => {
+      if (outcome === 'hostDown') {
+        this.entryHost.runInProcess(this.entryIncarnation, () => {
           this.fail('neverSent');
         });
       }
     });
   }
 
-  toEntry(run: () => void): void {
-    if (this.hung) {
+  /** Delivers to the entry, unless the connection is closed or stalled. */
+  deliverToEntry(run: () => void): void {
+    if (this.stalled) {
       return;
     }
-    this.net.deliver(
+    this.network.deliver(
       this.engine.host.name,
-      this.own.name,
+      this.entryHost.name,
       () => {
-        if (!this.closed && !this.hung) {
+        if (!this.closed && !this.stalled) {
           run();
         }
       },
       (outcome) => {
-        this.hung ||= outcome === 'cut';
+        this.stalled ||= outcome === 'cut';
       },
     );
   }
 
   accept(): void {
-    this.toEntry(() => {
+    this.deliverToEntry(() => {
       this.listener.opened();
     });
   }
 
   refuse(reason: kumquatfront.streamTypes.ConnectionFailure): void {
-    this.toEntry(() => {
+    this.deliverToEntry(() => {
       this.fail(reason);
     });
   }
@@ -116,14 +119,14 @@
   }
 
   token(generation: string, index: number): void {
-    this.toEntry(() => {
+    this.deliverToEntry(() => {
       const text = standIns.engineModel.tokenText(generation, index);
       this.listener.token(generation, index, JSON.stringify({ choices: [{ text }] }));
     });
   }
 
   ended(generation: string, count: number): void {
-    this.toEntry(() => {
+    this.deliverToEntry(() => {
       this.closed = true;
       this.listener.ended(generation, count);
     });
@@ -139,46 +142,46 @@
 
   close(): void {
     this.closed = true;
-    this.net.deliver(this.own.name, this.engine.host.name, () => {
+    this.network.deliver(this.entryHost.name, this.engine.host.name, () => {
       this.engine.model.detach(this.generation, this);
     });
   }
 }
 
 /**
- * The port to engines for one life of an entry.
+ * Creates the port to engines for one incarnation of an entry.
  *
- * @param net - the network
- * @param own - the entry's host
- * @param engines - finds an engine by its host's name
- * @returns the port
+ * @param network - simulated network
+ * @param entryHost - host of the entry
+ * @param engines - looks up an engine by host name
+ * @returns the generation port
  * @example
  * ```ts
- * const port = virtualUpstreams.createEngines(net, host, (name) => engines.get(name));
+ * const port = virtualUpstreams.createGenerationPort(network, host, (name) => engines.get(name));
  * ```
  */
-export function createEngines(
-  net: network.Network,
-  own: host.Host,
+export function createGenerationPort(
+  network: network.Network,
+  entryHost: host.Host,
   engines: (name: string) => VirtualEngine | undefined,
 ): kumquatfront.streamTypes.GenerationPort {
-  const life = own.currentLife;
+  const entryIncarnation = entryHost.incarnation;
   const connect = (
     target: kumquatfront.streamTypes.UpstreamTarget,
     generation: string,
     listener: kumquatfront.streamTypes.GenerationListener,
-    act: (engine: VirtualEngine, connection: Connection) => void,
+    onConnected: (engine: VirtualEngine, connection: EngineConnection) => void,
   ): kumquatfront.streamTypes.GenerationConnection => {
     const engine = engines(hostOf(target));
     if (engine === undefined) {
-      own.enter(life, () => {
+      entryHost.runInProcess(entryIncarnation, () => {
         listener.failed('neverSent', 'no such host');
       });
       return { pause: () => undefined, resume: () => undefined, close: () => undefined };
     }
-    const connection = new Connection(net, own, engine, generation, listener);
+    const connection = new EngineConnection(network, entryHost, engine, generation, listener);
     connection.open(() => {
-      act(engine, connection);
+      onConnected(engine, connection);
     });
     return connection;
   };
@@ -186,13 +189,13 @@
     start: (target, order, listener) =>
       connect(target, order.generation, listener, (engine, connection) => {
         connection.accept();
-        const read = standIns.orderReader.read(order);
-        engine.model.start(read, connection);
-        engine.onStart(read);
+        const engineRequest = standIns.requestParser.parse(order);
+        engine.model.start(engineRequest, connection);
+        engine.onStart(engineRequest);
       }),
     resume: (target, generation, fromIndex, listener) =>
       connect(target, generation, listener, (engine, connection) => {
-        if (engine.model.knows(generation)) {
+        if (engine.model.hasGeneration(generation)) {
           connection.accept();
           engine.model.attach(generation, fromIndex, connection);
         } else {
@@ -200,7 +203,7 @@
         }
       }),
     cancel: (target, generation, ifUnread) => {
-      net.deliver(own.name, hostOf(target), () => {
+      network.deliver(entryHost.name, hostOf(target), () => {
         engines(hostOf(target))?.model.cancel(generation, ifUnread);
       });
     },
@@ -208,38 +211,38 @@
 }
 
 /**
- * The port to services for one life of an entry.
+ * Creates the port to services for one incarnation of an entry.
  *
- * @param net - the network
- * @param own - the entry's host
- * @param services - finds a service by its host's name
- * @param scheduler - the world's timers
- * @returns the port
+ * @param network - simulated network
+ * @param entryHost - host of the entry
+ * @param services - looks up a service by host name
+ * @param scheduler - timers on virtual time
+ * @returns the service port
  * @example
  * ```ts
- * const port = virtualUpstreams.createServices(net, host, (name) => services.get(name), time);
+ * const port = virtualUpstreams.createServicePort(network, host, (name) => services.get(name), time);
  * ```
  */
-export function createServices(
-  net: network.Network,
-  own: host.Host,
+export function createServicePort(
+  network: network.Network,
+  entryHost: host.Host,
   services: (name: string) => VirtualService | undefined,
   scheduler: kumquatfront.ports.Scheduler,
 ): kumquatfront.streamTypes.ServicePort {
-  const life = own.currentLife;
+  const entryIncarnation = entryHost.incarnation;
   return {
     call: (target, call, timeout, listener) => {
-      let open = true;
-      const finish = (run: () => void): void => {
-        own.enter(life, () => {
-          if (open) {
-            open = false;
+      let isPending = true;
+      const complete = (run: () => void): void => {
+        entryHost.runInProcess(entryIncarnation, () => {
+          if (isPending) {
+            isPending = false;
             run();
           }
         });
       };
       const fail = (reason: 'neverSent' | 'broken' | 'timeout'): void => {
-        finish(() => {
+        complete(() => {
           listener.failed(reason);
         });
       };
@@ -254,23 +257,23 @@
       const { name } = service.host;
       const serve = (): void => {
         const body = service.model.run(call.method, call.path, call.idempotencyKey);
-        service.host.whenDead(() => {
-          net.deliver(name, own.name, () => {
+        service.host.onExit(() => {
+          network.deliver(name, entryHost.name, () => {
             fail('broken');
           });
         });
         scheduler.after(service.delay, () => {
           if (service.host.isUp && !service.host.isFrozen) {
-            net.deliver(name, own.name, () => {
-              finish(() => {
+            network.deliver(name, entryHost.name, () => {
+              complete(() => {
                 listener.answered({ status: 200, contentType: 'application/json', body });
               });
             });
           }
         });
       };
-      net.deliver(own.name, name, serve, (outcome) => {
-        if (outcome === 'dead') {
+      network.deliver(entryHost.name, name, serve, (outcome) => {
+        if (outcome === 'hostDown') {
           fail('neverSent');
         }
       });
@@ -279,36 +282,39 @@
 }
 
 /**
- * The check of upstreams' addresses for one life of an entry.
+ * Creates the connection check of upstream addresses for one incarnation of an entry.
  *
- * @param net - the network
- * @param own - the entry's host
+ * @param network - simulated network
+ * @param entryHost - host of the entry
  * @returns the check
  * @example
  * ```ts
- * const checkUpstream = virtualUpstreams.createCheck(net, host);
+ * const checkUpstream = virtualUpstreams.createUpstreamCheck(network, host);
  * ```
  */
-export function createCheck(net: network.Network, own: host.Host): kumquatfront.streamTypes.CheckUpstream {
-  const life = own.currentLife;
+export function createUpstreamCheck(
+  network: network.Network,
+  entryHost: host.Host,
+): kumquatfront.streamTypes.CheckUpstream {
+  const entryIncarnation = entryHost.incarnation;
   return (address, done) => {
     const name = hostOf({ name: '', address });
-    const tell = (sign: kumquatfront.relayTypes.ConnectionSign): void => {
-      own.enter(life, () => {
-        done(sign);
+    const report = (result: kumquatfront.relayTypes.ConnectionSign): void => {
+      entryHost.runInProcess(entryIncarnation, () => {
+        done(result);
       });
     };
-    net.deliver(
-      own.name,
+    network.deliver(
+      entryHost.name,
       name,
       () => {
-        net.deliver(name, own.name, () => {
-          tell('accepted');
+        network.deliver(name, entryHost.name, () => {
+          report('accepted');
         });
       },
       (outcome) => {
         if (outcome !== 'delivered') {
-          tell(outcome === 'dead' ? 'refused' : 'unknown');
+          report(outcome === 'hostDown' ? 'refused' : 'unknown');
         }
       },
     );
--- a/packages/scenarios/src/world/world.ts
+++ b/packages/scenarios/src/world/world.ts
@@ -1,6 +1,6 @@
 /**
- * A small world on virtual time: control replicas, entries, engines, services and callers, all running the
- * code that runs on VMs, over ports in memory.
+ * Simulated deployment on virtual time: control replicas, entries, engines and services. Control and entries run the
+ * production code on in-memory ports.
  */
 import * as kumquatfront from 'kumquatfront';
 import * as standIns from 'kumquatfront-stand-ins';
@@ -8,77 +8,76 @@
 import * as host from './host.js';
 import * as memoryDisk from './memoryDisk.js';
 import * as network from './network.js';
-import * as virtualCaller from './virtualCaller.js';
-import * as virtualOrders from './virtualOrders.js';
+import * as virtualOrderPort from './virtualOrderPort.js';
+import * as virtualStream from './virtualStream.js';
 import * as virtualUpstreams from './virtualUpstreams.js';
 
-/** How a world is made. */
+/** Options of a simulated deployment. */
 export interface WorldOptions {
   readonly seed: number;
   readonly controlNames: readonly string[];
   readonly entryNames: readonly string[];
   readonly dataCentreOf: (name: string) => string;
   readonly network: network.NetworkOptions;
-  /** Milliseconds a sync of a control replica's disk takes; 1 where absent. */
+  /** Duration of a disk sync of a control replica in milliseconds; defaults to 1. */
   readonly syncDelay?: number;
   readonly control?: Partial<kumquatfront.controlNode.ControlSettings>;
   readonly entry?: Partial<kumquatfront.entryTypes.EntrySettings>;
-  /** The serving policy of the entries; the product's own where absent. */
+  /** Serving policy of the entries; defaults to the policy of the library. */
   readonly createPlacement?: kumquatfront.entryNode.CreatePlacement;
-  /** Lines of the session. */
+  /** Records a line of the session. */
   readonly record: (line: string) => void;
 }
 
-/** An upstream's own settings. */
-export interface EngineWish {
+/** Options of a simulated engine. */
+export interface VirtualEngineOptions {
   readonly pool: string;
   readonly options: Omit<standIns.engineTypes.EngineOptions, 'name'>;
   readonly reportLag: number;
   readonly checksFencing: boolean;
-  /** The engine ends under generations of so many tokens, and is back seconds later. */
-  readonly endsUnderTokens?: number;
-  /** Told the duration of every step, for measurements. */
+  /** The engine crashes shortly after it starts a generation of this output length, and restarts later. */
+  readonly crashesAtOutputTokens?: number;
+  /** Called with the duration of every step. */
   readonly onStep?: (duration: number) => void;
 }
 
-interface ControlSlot {
+interface VirtualReplica {
   readonly host: host.Host;
   readonly disk: memoryDisk.MemoryDisk;
   node: kumquatfront.controlNode.ControlNode | undefined;
 }
 
-interface EntrySlot {
+interface VirtualEntry {
   readonly host: host.Host;
   node: kumquatfront.entryNode.EntryNode | undefined;
 }
 
 const SIGNING_KEY = 'scenario-signing-key';
-const ANNOUNCE_EVERY = 1_000;
-const REPORT_EVERY = 500;
-const LEASE = 4_000;
-/** From the begin of a generation to the end of an engine under it, and on to its next start. */
-const ENDS_AFTER = 50;
-const BACK_AFTER = 3_000;
-const CACHE_LOSS = 0.1;
+const ANNOUNCEMENT_INTERVAL = 1_000;
+const REPORT_INTERVAL = 500;
+const ANNOUNCEMENT_LEASE = 4_000;
+const CRASH_DELAY = 50;
+const RESTART_DELAY = 3_000;
+const CACHE_EVENT_LOSS_SHARE = 0.1;
 const WEIGHT_LOADS_PER_MINUTE = kumquatfront.defaultConfig.controlDefaults.orders.weightLoadsPerMinute;
 
-/** The world; see the module comment. */
+/** Simulated deployment. */
 export class World {
   readonly time = new kumquatfront.virtualTime.VirtualTime();
   readonly random: kumquatfront.ports.Random;
   readonly net: network.Network;
-  readonly controls = new Map<string, ControlSlot>();
-  readonly entries = new Map<string, EntrySlot>();
+  readonly controls = new Map<string, VirtualReplica>();
+  readonly entries = new Map<string, VirtualEntry>();
   readonly engines = new Map<string, virtualUpstreams.VirtualEngine>();
   readonly services = new Map<string, virtualUpstreams.VirtualService>();
-  /** The store that engines load weights from; loads beyond its rate are refused and counted. */
+  /** Store from which engines load weights; it counts the loads that it rejects. */
   readonly weightStore = new standIns.weightStoreModel.WeightStoreModel(WEIGHT_LOADS_PER_MINUTE, () =>
     this.time.now(),
   );
   private readonly announcers = new Map<string, standIns.announcer.Announcer>();
-  private readonly boots = new Map<string, () => void>();
+  private readonly bootFunctions = new Map<string, () => void>();
   private readonly options: WorldOptions;
-  private seeds = 0;
+  private derivedSeedCount = 0;
 
   constructor(options: WorldOptions) {
     this.options = options;
@@ -102,60 +101,60 @@
     return created;
   }
 
-  private basePorts(own: host.Host): kumquatfront.ports.BasePorts {
-    this.seeds += 1;
+  private basePorts(processHost: host.Host): kumquatfront.ports.BasePorts {
+    this.derivedSeedCount += 1;
     return {
       clock: this.time.clock,
-      scheduler: own.scheduler(),
-      random: kumquatfront.seededRandom.create(this.random.next() * 2 ** 31 + this.seeds),
-      peers: this.net.transportOf(own),
-      log: this.logOf(own),
+      scheduler: processHost.scheduler(),
+      random: kumquatfront.seededRandom.create(this.random.next() * 2 ** 31 + this.derivedSeedCount),
+      peers: this.net.transportOf(processHost),
+      log: this.logOf(processHost),
       metrics: kumquatfront.statsdMetrics.silent,
     };
   }
 
-  private logOf(own: host.Host): kumquatfront.ports.Log {
+  private logOf(processHost: host.Host): kumquatfront.ports.Log {
     const write = (level: string) => (event: string, fields?: kumquatfront.ports.LogFields) => {
-      this.record(`${own.name} ${kumquatfront.keyValueLog.format(level, event, fields)}`);
+      this.record(`${processHost.name} ${kumquatfront.keyValueLog.format(level, event, fields)}`);
     };
     return { debug: () => undefined, info: write('info'), warn: write('warn'), error: write('error') };
   }
 
   private addControl(name: string): void {
-    const slot: ControlSlot = {
+    const replica: VirtualReplica = {
       host: this.createHost(name),
       disk: new memoryDisk.MemoryDisk(this.options.syncDelay ?? 1),
       node: undefined,
     };
-    this.controls.set(name, slot);
+    this.controls.set(name, replica);
     const boot = (): void => {
-      slot.host.boot();
-      const base = this.basePorts(slot.host);
-      const opened = kumquatfront.controlNode.create(
+      replica.host.boot();
+      const base = this.basePorts(replica.host);
+      const created = kumquatfront.controlNode.create(
         {
           ...kumquatfront.defaultConfig.controlDefaults,
           ...this.options.control,
           name,
-          dataCentre: slot.host.dataCentre,
+          dataCentre: replica.host.dataCentre,
           peerAddress: name,
           control: this.options.controlNames,
         },
-        { ...base, disk: slot.disk.portFor(base.scheduler), orders: this.ordersOf(slot.host) },
+        { ...base, disk: replica.disk.portFor(base.scheduler), orders: this.orderPortOf(replica.host) },
       );
-      if (opened.err) {
-        this.record(`${name} does not start: ${opened.val.message}`);
-        slot.host.kill();
-        slot.node = undefined;
+      if (created.err) {
+        this.record(`${name} does not start: ${created.val.message}`);
+        replica.host.kill();
+        replica.node = undefined;
         return;
       }
-      slot.node = opened.val;
+      replica.node = created.val;
     };
-    this.boots.set(name, boot);
+    this.bootFunctions.set(name, boot);
     boot();
   }
 
-  private ordersOf(own: host.Host): kumquatfront.orderTypes.OrderPort {
-    return virtualOrders.create(own, {
+  private orderPortOf(processHost: host.Host): kumquatfront.orderTypes.OrderPort {
+    return virtualOrderPort.create(processHost, {
       time: this.time,
       network: this.net,
       engineOf: (name) => this.engines.get(name),
@@ -167,15 +166,15 @@
   }
 
   private addEntry(name: string): void {
-    const slot: EntrySlot = { host: this.createHost(name), node: undefined };
-    this.entries.set(name, slot);
+    const entry: VirtualEntry = { host: this.createHost(name), node: undefined };
+    this.entries.set(name, entry);
     const boot = (): void => {
-      slot.host.boot();
+      entry.host.boot();
       const settings: kumquatfront.entryTypes.EntrySettings = {
         ...kumquatfront.defaultConfig.entryDefaults,
         ...this.options.entry,
         name,
-        dataCentre: slot.host.dataCentre,
+        dataCentre: entry.host.dataCentre,
         callerAddress: `http://${name}`,
         peerAddress: name,
         entries: this.options.entryNames,
@@ -183,82 +182,91 @@
         signingKey: SIGNING_KEY,
         upstreamKeyHash: '',
       };
-      const outside = {
-        ...this.basePorts(slot.host),
-        engines: virtualUpstreams.createEngines(this.net, slot.host, (engine) => this.engines.get(engine)),
-        services: virtualUpstreams.createServices(
+      const entryPorts = {
+        ...this.basePorts(entry.host),
+        engines: virtualUpstreams.createGenerationPort(this.net, entry.host, (engine) =>
+          this.engines.get(engine),
+        ),
+        services: virtualUpstreams.createServicePort(
           this.net,
-          slot.host,
+          entry.host,
           (service) => this.services.get(service),
           this.time,
         ),
-        checkUpstream: virtualUpstreams.createCheck(this.net, slot.host),
-        orders: this.ordersOf(slot.host),
+        checkUpstream: virtualUpstreams.createUpstreamCheck(this.net, entry.host),
+        orders: this.orderPortOf(entry.host),
         onDrainRequest: () => undefined,
       };
-      slot.node = kumquatfront.entryNode.create(settings, outside, this.options.createPlacement);
+      entry.node = kumquatfront.entryNode.create(settings, entryPorts, this.options.createPlacement);
     };
-    this.boots.set(name, boot);
+    this.bootFunctions.set(name, boot);
     boot();
   }
 
-  /** Adds an engine and starts it. */
-  addEngine(name: string, wish: EngineWish): void {
-    const own = this.createHost(name);
+  /** Adds and starts an engine. */
+  addEngine(name: string, engineOptions: VirtualEngineOptions): void {
+    const processHost = this.createHost(name);
     const create = (): standIns.engineModel.EngineModel =>
       new standIns.engineModel.EngineModel(
-        { name, ...wish.options },
-        { now: () => this.time.now(), after: (delay, run) => own.scheduler().after(delay, run) },
-        wish.onStep,
+        { name, ...engineOptions.options },
+        { now: () => this.time.now(), after: (delay, run) => processHost.scheduler().after(delay, run) },
+        engineOptions.onStep,
       );
-    const slot: virtualUpstreams.VirtualEngine = {
-      host: own,
+    const engine: virtualUpstreams.VirtualEngine = {
+      host: processHost,
       model: create(),
-      orders: new standIns.orderBook.OrderBook(wish.checksFencing),
+      orderReceiver: new standIns.orderReceiver.OrderReceiver(engineOptions.checksFencing),
       onStart: (order) => {
-        if (order.outputTokens === wish.endsUnderTokens) {
-          this.endSoon(name);
+        if (order.outputTokens === engineOptions.crashesAtOutputTokens) {
+          this.scheduleCrash(name);
         }
       },
     };
-    this.engines.set(name, slot);
+    this.engines.set(name, engine);
     const boot = (): void => {
-      own.boot();
-      slot.model = create();
-      const { model } = slot;
-      this.announce(own, wish.pool, 'engine', wish.options, wish.reportLag, model);
+      processHost.boot();
+      engine.model = create();
+      const { model } = engine;
+      this.startAnnouncer(
+        processHost,
+        engineOptions.pool,
+        'engine',
+        engineOptions.options,
+        engineOptions.reportLag,
+        model,
+      );
     };
-    this.boots.set(name, boot);
+    this.bootFunctions.set(name, boot);
     boot();
   }
 
-  private endSoon(name: string): void {
-    const { currentLife } = this.hostOf(name);
-    this.time.after(ENDS_AFTER, () => {
-      if (this.hostOf(name).currentLife === currentLife) {
+  private scheduleCrash(name: string): void {
+    const { incarnation } = this.hostOf(name);
+    this.time.after(CRASH_DELAY, () => {
+      if (this.hostOf(name).incarnation === incarnation) {
         this.record(`-- ${name} ends under what it runs`);
         this.kill(name);
-        this.time.after(BACK_AFTER, () => {
+        this.time.after(RESTART_DELAY, () => {
           this.boot(name);
         });
       }
     });
   }
 
-  /** Adds a plain service and starts it. */
+  /** Adds and starts a plain service. */
   addService(name: string, pool: string, delay: number): void {
-    const own = this.createHost(name);
-    this.services.set(name, { host: own, model: new standIns.serviceModel.ServiceModel(), delay });
+    const processHost = this.createHost(name);
+    this.services.set(name, { host: processHost, model: new standIns.serviceModel.ServiceModel(), delay });
     const boot = (): void => {
-      own.boot();
-      this.announce(own, pool, 'plainService', { memoryTokens: 0, slots: 0 }, 0, undefined);
+      processHost.boot();
+      this.startAnnouncer(processHost, pool, 'plainService', { memoryTokens: 0, slots: 0 }, 0, undefined);
     };
-    this.boots.set(name, boot);
+    this.bootFunctions.set(name, boot);
     boot();
   }
 
-  private announce(
-    own: host.Host,
+  private startAnnouncer(
+    processHost: host.Host,
     pool: string,
     kind: kumquatfront.directoryTypes.UpstreamKind,
     size: { readonly memoryTokens: number; readonly slots: number },
@@ -268,66 +276,67 @@
     const idle = { running: 0, waiting: 0, usedTokens: 0 };
     const announcer = new standIns.announcer.Announcer({
       announcement: {
-        name: own.name,
+        name: processHost.name,
         incarnation: this.time.clock.wall(),
-        address: `http://${own.name}`,
+        address: `http://${processHost.name}`,
         kind,
         labels: { pool },
-        dataCentre: own.dataCentre,
+        dataCentre: processHost.dataCentre,
         memoryTokens: size.memoryTokens,
         slots: size.slots,
-        lease: LEASE,
+        lease: ANNOUNCEMENT_LEASE,
       },
-      timers: kumquatfront.timerService.create(this.time.clock, own.scheduler()),
+      timers: kumquatfront.timerService.create(this.time.clock, processHost.scheduler()),
       random: this.random,
-      announceEvery: ANNOUNCE_EVERY,
-      reportEvery: REPORT_EVERY,
+      announceEvery: ANNOUNCEMENT_INTERVAL,
+      reportEvery: REPORT_INTERVAL,
       reportLag,
-      cacheLoss: CACHE_LOSS,
+      cacheLoss: CACHE_EVENT_LOSS_SHARE,
       load: () => model?.load() ?? idle,
-      cacheChanges: () => model?.takeCacheChanges() ?? { added: [], removed: [] },
-      isFrozen: () => own.isFrozen,
-      post: (news) => {
-        this.postNews(own, news);
+      cacheChanges: () => model?.drainCacheChanges() ?? { added: [], removed: [] },
+      isFrozen: () => processHost.isFrozen,
+      post: (update) => {
+        this.postUpdate(processHost, update);
       },
     });
-    this.announcers.set(own.name, announcer);
+    this.announcers.set(processHost.name, announcer);
   }
 
-  /** An upstream posts to an entry that answers. */
-  private postNews(own: host.Host, news: kumquatfront.directoryTypes.UpstreamNews): void {
+  /** Delivers an update of an upstream to a random reachable entry. */
+  private postUpdate(processHost: host.Host, update: kumquatfront.directoryTypes.UpstreamNews): void {
     const reachable = [...this.entries.values()].filter(
-      (entry) => entry.host.isUp && !entry.host.isFrozen && !this.net.isCut(own.name, entry.host.name),
+      (entry) =>
+        entry.host.isUp && !entry.host.isFrozen && !this.net.isCut(processHost.name, entry.host.name),
     );
     const entry = reachable[Math.floor(this.random.next() * reachable.length)];
     if (entry !== undefined) {
-      this.net.deliver(own.name, entry.host.name, () => {
-        entry.node?.takeNews(news);
+      this.net.deliver(processHost.name, entry.host.name, () => {
+        entry.node?.takeNews(update);
       });
     }
   }
 
-  /** An upstream says that it leaves. */
+  /** Sends the termination notice of an upstream. */
   leave(name: string): void {
-    this.announcers.get(name)?.leave();
+    this.announcers.get(name)?.sendTerminationNotice();
   }
 
   hostOf(name: string): host.Host {
     const found = this.net.hosts.get(name);
     if (found === undefined) {
-      throw new Error(`There is no host ${name}; known: ${[...this.net.hosts.keys()].join(', ')}.`);
+      throw new Error(`Unknown host ${name}; known hosts: ${[...this.net.hosts.keys()].join(', ')}.`);
     }
     return found;
   }
 
-  /** Kills a process; with `torn`, its last unsynced write is half on the disk. */
+  /** Kills a process; with `torn`, half of its first unsynced write stays on the disk. */
   kill(name: string, torn = false): void {
     this.hostOf(name).kill();
     this.controls.get(name)?.disk.crash(torn);
   }
 
   boot(name: string): void {
-    this.boots.get(name)?.();
+    this.bootFunctions.get(name)?.();
   }
 
   freeze(name: string): void {
@@ -340,7 +349,7 @@
     this.engines.get(name)?.model.thaw();
   }
 
-  /** Cuts a host from every other one. */
+  /** Cuts the links of a host to all other hosts. */
   isolate(name: string): void {
     for (const other of this.net.hosts.keys()) {
       if (other !== name) {
@@ -349,26 +358,26 @@
     }
   }
 
-  /** Control replicas that lead and may act. */
+  /** Running control replicas that may act as leader. */
   leaders(): readonly string[] {
     const slots = [...this.controls.entries()];
     return slots
-      .filter(([, slot]) => slot.host.isUp && slot.node?.services.find('replica').mayLead() === true)
+      .filter(([, replica]) => replica.host.isUp && replica.node?.services.find('replica').mayLead() === true)
       .map(([name]) => name);
   }
 
-  /** Running entries, as callers reach them. */
-  reachableEntries(): readonly virtualCaller.ReachableEntry[] {
-    return [...this.entries.values()].flatMap((slot) =>
-      slot.node === undefined ? [] : [{ host: slot.host, node: slot.node }],
+  /** Entries that have been started. */
+  reachableEntries(): readonly virtualStream.ReachableEntry[] {
+    return [...this.entries.values()].flatMap((entry) =>
+      entry.node === undefined ? [] : [{ host: entry.host, node: entry.node }],
     );
   }
 
-  /** What callers need of the world. */
-  callerWorld(): virtualCaller.CallerWorld {
+  /** Dependencies of simulated callers. */
+  callerEnvironment(): virtualStream.CallerEnvironment {
     return {
       time: this.time,
-      net: this.net,
+      network: this.net,
       entries: () => this.reachableEntries(),
       record: (text) => {
         this.record(text);
--- a/packages/standIns/src/announcer/announcer.ts
+++ b/packages/standIns/src/announcer/announcer.ts
@@ -1,36 +1,36 @@
 /**
- * How a stand-in upstream makes itself known: announcements, load reports with a lag, cache events late and
- * with gaps. It learns entries the way callers do.
+ * Registers a simulated upstream with the entries: periodic announcements, delayed load reports, and cache events of
+ * which some are lost.
  */
 import type * as kumquatfront from 'kumquatfront';
 
-/** What an announcer is made from. Times are milliseconds. */
+/** Options of an announcer. Times are in milliseconds. */
 export interface AnnouncerOptions {
   readonly announcement: Omit<kumquatfront.directoryTypes.Announcement, 'sequence' | 'leaving'>;
   readonly timers: kumquatfront.timerService.TimerService;
   readonly random: kumquatfront.ports.Random;
   readonly announceEvery: number;
   readonly reportEvery: number;
-  /** Age of a load when it is reported. */
+  /** Delay between measuring a load and reporting it. */
   readonly reportLag: number;
-  /** Share of cache events that get lost. */
+  /** Share of cache events that are lost. */
   readonly cacheLoss: number;
   readonly load: () => { readonly running: number; readonly waiting: number; readonly usedTokens: number };
   readonly cacheChanges: () => { readonly added: readonly string[]; readonly removed: readonly string[] };
-  /** True while the upstream cannot act. */
+  /** Whether the upstream is frozen and sends nothing. */
   readonly isFrozen: () => boolean;
-  /** Posts news to an entry. */
-  readonly post: (news: kumquatfront.directoryTypes.UpstreamNews) => void;
+  /** Posts an update to an entry. */
+  readonly post: (update: kumquatfront.directoryTypes.UpstreamNews) => void;
 }
 
-/** The announcer of one upstream. */
+/** Announces one upstream. */
 export class Announcer {
   private readonly options: AnnouncerOptions;
   private sequence = 0;
   private reportSequence = 0;
   private cacheSequence = 0;
-  private leaving = false;
-  private stopped = false;
+  private isTerminating = false;
+  private isStopped = false;
 
   constructor(options: AnnouncerOptions) {
     this.options = options;
@@ -54,24 +54,24 @@
     });
   }
 
-  private isSilent(): boolean {
-    return this.stopped || this.options.isFrozen();
+  private isInactive(): boolean {
+    return this.isStopped || this.options.isFrozen();
   }
 
   private announce(): void {
-    if (this.isSilent()) {
+    if (this.isInactive()) {
       return;
     }
     this.sequence += 1;
     const { announcement, post } = this.options;
     post({
       type: 'announce',
-      announcement: { ...announcement, sequence: this.sequence, leaving: this.leaving },
+      announcement: { ...announcement, sequence: this.sequence, leaving: this.isTerminating },
     });
   }
 
   private report(): void {
-    if (this.isSilent()) {
+    if (this.isInactive()) {
       return;
     }
     const { announcement, load, timers, reportLag, post } = this.options;
@@ -79,7 +79,7 @@
     this.reportSequence += 1;
     const report = { name, incarnation, sequence: this.reportSequence, ...load() };
     timers.after(reportLag, () => {
-      if (!this.isSilent()) {
+      if (!this.isInactive()) {
         post({ type: 'load', report });
       }
     });
@@ -99,13 +99,13 @@
     }
   }
 
-  /** Says that the upstream leaves; it goes on with what it has. */
-  leave(): void {
-    this.leaving = true;
+  /** Sends the termination notice of the upstream, which finishes its running requests. */
+  sendTerminationNotice(): void {
+    this.isTerminating = true;
     this.announce();
   }
 
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
   }
 }
--- a/packages/standIns/src/engine/engineHttp.ts
+++ b/packages/standIns/src/engine/engineHttp.ts
@@ -1,41 +1,41 @@
 /**
- * The HTTP adapter of the stand-in engine: OpenAI-style streams, resume, cancel and orders.
+ * HTTP server of the simulated engine: OpenAI-compatible streams, resume, cancel and orders.
  */
 import * as http from 'node:http';
 
 import * as kumquatfront from 'kumquatfront';
 
 import * as engineModel from './engineModel.js';
-import * as orderBook from './orderBook.js';
-import * as orderReader from './orderReader.js';
+import * as orderReceiver from './orderReceiver.js';
+import * as requestParser from './requestParser.js';
 import type * as types from './types.js';
 
 const GENERATION_PATH = /^\/v1\/generations\/([^/]+)$/;
 
-/** Writes a generation to a response. */
+/** Streams a generation to an HTTP response as server-sent events. */
 class ResponseReader implements types.EngineReader {
   private readonly response: http.ServerResponse;
-  private readonly chat: boolean;
-  private readonly onFull: () => void;
+  private readonly isChat: boolean;
+  private readonly onBufferFull: () => void;
 
   constructor(response: http.ServerResponse, chat: boolean, onFull: () => void) {
     this.response = response;
-    this.chat = chat;
-    this.onFull = onFull;
+    this.isChat = chat;
+    this.onBufferFull = onFull;
   }
 
   token(generation: string, index: number): void {
     const text = engineModel.tokenText(generation, index);
-    const choice = this.chat ? { index: 0, delta: { content: text } } : { index: 0, text };
+    const choice = this.isChat ? { index: 0, delta: { content: text } } : { index: 0, text };
     const chunk = {
       id: generation,
-      object: this.chat ? 'chat.completion.chunk' : 'text_completion',
+      object: this.isChat ? 'chat.completion.chunk' : 'text_completion',
       created: 0,
       model: 'stand-in',
       choices: [{ ...choice, finish_reason: null }],
     };
     if (!this.response.write(`id: ${generation}:${index}\ndata: ${JSON.stringify(chunk)}\n\n`)) {
-      this.onFull();
+      this.onBufferFull();
     }
   }
 
@@ -44,20 +44,20 @@
   }
 }
 
-/** What the adapter serves. */
+/** Options of the engine server. */
 export interface EngineHttpOptions {
   readonly model: engineModel.EngineModel;
-  readonly orders: orderBook.OrderBook;
+  readonly orderReceiver: orderReceiver.OrderReceiver;
 }
 
 /**
- * Creates the server of a stand-in engine. `GET /stand-in/counts` tells what it counted.
+ * Creates the server of a simulated engine. `GET /stand-in/counts` returns its counters.
  *
- * @param options - the model and its order book
+ * @param options - the engine model and its order receiver
  * @returns the server, not yet listening
  * @example
  * ```ts
- * engineHttp.createServer({ model, orders }).listen(0, '127.0.0.1');
+ * engineHttp.createServer({ model, orderReceiver }).listen(0, '127.0.0.1');
  * ```
  */
 export function createServer(options: EngineHttpOptions): http.Server {
@@ -65,15 +65,15 @@
     const url = new URL(request.url ?? '/', 'http://engine');
     const generation = decodeURIComponent(GENERATION_PATH.exec(url.pathname)?.[1] ?? '');
     if (request.method === 'POST' && url.pathname === '/v1/orders') {
-      takeOrder(options.orders, request, response);
+      handleOrder(options.orderReceiver, request, response);
     } else if (request.method === 'GET' && url.pathname === '/v1/orders') {
-      kumquatfront.httpAnswers.sendJson(response, 200, options.orders.receipt());
+      kumquatfront.httpAnswers.sendJson(response, 200, options.orderReceiver.latestReceipt());
     } else if (request.method === 'GET' && url.pathname === '/stand-in/counts') {
       kumquatfront.httpAnswers.sendJson(response, 200, options.model.counts);
     } else if (request.method === 'POST') {
-      start(options.model, url.pathname, request, response);
+      startGeneration(options.model, url.pathname, request, response);
     } else if (request.method === 'GET' && generation !== '') {
-      resume(options.model, generation, Number(url.searchParams.get('from')), response);
+      resumeGeneration(options.model, generation, Number(url.searchParams.get('from')), response);
     } else if (request.method === 'DELETE' && generation !== '') {
       options.model.cancel(generation, url.searchParams.get('ifUnread') === 'true');
       response.end();
@@ -83,19 +83,19 @@
   });
 }
 
-function takeOrder(
-  orders: orderBook.OrderBook,
+function handleOrder(
+  receiver: orderReceiver.OrderReceiver,
   request: http.IncomingMessage,
   response: http.ServerResponse,
 ): void {
   kumquatfront.httpAnswers.readBody(request, (text) => {
     const order = JSON.parse(text.unwrapOr('{}')) as { fencingNumber: number; target: string };
-    const taken = orders.take(order.fencingNumber, order.target);
-    kumquatfront.httpAnswers.sendJson(response, taken ? 200 : 409, orders.receipt());
+    const accepted = receiver.accept(order.fencingNumber, order.target);
+    kumquatfront.httpAnswers.sendJson(response, accepted ? 200 : 409, receiver.latestReceipt());
   });
 }
 
-function open(response: http.ServerResponse): void {
+function openStream(response: http.ServerResponse): void {
   response.writeHead(200, { 'content-type': 'text/event-stream' });
   response.flushHeaders();
 }
@@ -118,7 +118,7 @@
   return reader;
 }
 
-function start(
+function startGeneration(
   model: engineModel.EngineModel,
   path: string,
   request: http.IncomingMessage,
@@ -127,22 +127,22 @@
   kumquatfront.httpAnswers.readBody(request, (text) => {
     const generation = String(request.headers['x-generation-id']);
     const priority = Number(request.headers['x-priority']);
-    const order = orderReader.read({ generation, priority, body: text.unwrapOr('{}') });
-    open(response);
-    model.start(order, createReader(model, generation, path.includes('chat'), response));
+    const engineRequest = requestParser.parse({ generation, priority, body: text.unwrapOr('{}') });
+    openStream(response);
+    model.start(engineRequest, createReader(model, generation, path.includes('chat'), response));
   });
 }
 
-function resume(
+function resumeGeneration(
   model: engineModel.EngineModel,
   generation: string,
   fromIndex: number,
   response: http.ServerResponse,
 ): void {
-  if (!model.knows(generation)) {
+  if (!model.hasGeneration(generation)) {
     response.writeHead(404).end();
     return;
   }
-  open(response);
+  openStream(response);
   model.attach(generation, fromIndex, createReader(model, generation, false, response));
 }
--- a/packages/standIns/src/engine/engineModel.ts
+++ b/packages/standIns/src/engine/engineModel.ts
@@ -1,20 +1,20 @@
 /**
- * The state machine of a stand-in engine: continuous batching, limited memory, priorities, preemption when
- * memory fills during decoding, prefix cache, resume and cancel. It knows time only through `after`.
+ * Simulates an inference engine: continuous batching, limited KV cache memory, priorities, preemption when memory
+ * runs out during decoding, a prefix cache, resume and cancel. All timing goes through `ModelTimers`.
  */
 import type * as kumquatfront from 'kumquatfront';
 
 import type * as types from './types.js';
 
-/** Time as the model needs it. */
-export interface ModelTime {
+/** Clock and timers of the model. */
+export interface ModelTimers {
   now(): number;
   after(delay: number, run: () => void): kumquatfront.ports.Cancel;
 }
 
-const ENDED_KEPT = 30_000;
+const FINISHED_GENERATION_RETENTION = 30_000;
 
-/** The engine; see the module comment. */
+/** Simulated engine. */
 export class EngineModel {
   readonly options: types.EngineOptions;
   readonly counts: types.EngineCounts = {
@@ -25,53 +25,53 @@
     cancelled: 0,
     starts: 0,
   };
-  private readonly time: ModelTime;
+  private readonly time: ModelTimers;
   private readonly onStep: ((duration: number) => void) | undefined;
   private readonly generations = new Map<string, types.Generation>();
   private running: types.Generation[] = [];
   private waiting: types.Generation[] = [];
   private usedTokens = 0;
-  private arrivals = 0;
+  private arrivalCount = 0;
   private stepScheduled = false;
   private frozen = false;
-  private readonly cache = new Set<string>();
+  private readonly prefixCache = new Set<string>();
   private cacheAdded: string[] = [];
   private cacheRemoved: string[] = [];
 
-  constructor(options: types.EngineOptions, time: ModelTime, onStep?: (duration: number) => void) {
+  constructor(options: types.EngineOptions, time: ModelTimers, onStep?: (duration: number) => void) {
     this.options = options;
     this.time = time;
     this.onStep = onStep;
   }
 
-  /** Takes an order. */
-  start(order: types.EngineOrder, reader: types.EngineReader): void {
+  /** Enqueues a request. */
+  start(request: types.EngineRequest, reader: types.EngineReader): void {
     const generation: types.Generation = {
-      order,
-      produced: order.copiedOutput ?? 0,
-      toCompute: this.unreadOf(order),
+      request,
+      producedTokens: request.copiedOutput ?? 0,
+      tokensToCompute: this.prefillTokensOf(request),
       state: 'waiting',
-      arrival: (this.arrivals += 1),
+      arrival: (this.arrivalCount += 1),
       reader,
-      sent: order.copiedOutput ?? 0,
+      sentTokens: request.copiedOutput ?? 0,
       paused: false,
       endedAt: 0,
     };
     this.counts.starts += 1;
-    this.generations.set(order.generation, generation);
+    this.generations.set(request.generation, generation);
     this.enqueue(generation);
     this.scheduleStep();
   }
 
-  /** Prompt tokens of an order that must be read before its first token. */
-  private unreadOf(order: types.EngineOrder): number {
-    if (order.copiedOutput !== undefined) {
+  /** Prompt tokens to compute before the first output token. */
+  private prefillTokensOf(request: types.EngineRequest): number {
+    if (request.copiedOutput !== undefined) {
       return 0;
     }
-    return this.cache.has(order.prefix) ? Math.ceil(order.promptTokens / 10) : order.promptTokens;
+    return this.prefixCache.has(request.prefix) ? Math.ceil(request.promptTokens / 10) : request.promptTokens;
   }
 
-  /** Sets memory aside for a copy that is on its way; false where there is no room. */
+  /** Reserves memory for an incoming copy; returns false when there is not enough free memory. */
   hold(tokens: number): boolean {
     if (this.usedTokens + tokens > this.options.memoryTokens) {
       return false;
@@ -80,40 +80,40 @@
     return true;
   }
 
-  /** Gives back what was set aside. */
+  /** Releases reserved memory. */
   release(tokens: number): void {
     this.usedTokens -= tokens;
     this.scheduleStep();
   }
 
   private enqueue(generation: types.Generation): void {
-    const { priority } = generation.order;
+    const { priority } = generation.request;
     const position = this.waiting.findIndex(
       (other) =>
-        other.order.priority > priority ||
-        (other.order.priority === priority && other.arrival > generation.arrival),
+        other.request.priority > priority ||
+        (other.request.priority === priority && other.arrival > generation.arrival),
     );
     this.waiting.splice(position < 0 ? this.waiting.length : position, 0, generation);
   }
 
-  /** Lets a reader go on from an index; false where the generation is not known. */
+  /** Attaches a reader from a token index; returns false for an unknown generation. */
   attach(name: string, fromIndex: number, reader: types.EngineReader): boolean {
     const generation = this.generations.get(name);
     if (generation === undefined) {
       return false;
     }
     generation.reader = reader;
-    generation.sent = fromIndex;
+    generation.sentTokens = fromIndex;
     generation.paused = false;
-    this.feed(generation);
+    this.deliverTokens(generation);
     return true;
   }
 
-  knows(name: string): boolean {
+  hasGeneration(name: string): boolean {
     return this.generations.has(name);
   }
 
-  /** Ends reading; the generation goes on. */
+  /** Detaches a reader; the generation continues. */
   detach(name: string, reader: types.EngineReader): void {
     const generation = this.generations.get(name);
     if (generation?.reader === reader) {
@@ -125,10 +125,11 @@
     const generation = this.generations.get(name);
     if (generation?.reader === reader) {
       generation.paused = paused;
-      this.feed(generation);
+      this.deliverTokens(generation);
     }
   }
 
+  /** Cancels a generation; with `ifUnread`, only when no reader is attached. */
   cancel(name: string, ifUnread: boolean): void {
     const generation = this.generations.get(name);
     if (generation === undefined || (ifUnread && generation.reader !== undefined)) {
@@ -142,7 +143,7 @@
     this.waiting = this.waiting.filter((other) => other !== generation);
     if (generation.state === 'running') {
       this.running = this.running.filter((other) => other !== generation);
-      this.usedTokens -= this.heldBy(generation);
+      this.usedTokens -= this.memoryTokensOf(generation);
     }
     generation.state = 'ended';
   }
@@ -166,23 +167,23 @@
     return { running: this.running.length, waiting: this.waiting.length, usedTokens: this.usedTokens };
   }
 
-  /** Changes of the prefix cache since the last call. */
-  takeCacheChanges(): { readonly added: readonly string[]; readonly removed: readonly string[] } {
+  /** Returns and clears the changes of the prefix cache since the last call. */
+  drainCacheChanges(): { readonly added: readonly string[]; readonly removed: readonly string[] } {
     const changes = { added: this.cacheAdded, removed: this.cacheRemoved };
     this.cacheAdded = [];
     this.cacheRemoved = [];
     return changes;
   }
 
-  /** True where nobody reads a generation that still runs. */
-  hasUnread(): boolean {
+  /** Whether an unfinished generation has no reader. */
+  hasUnreadGeneration(): boolean {
     return [...this.generations.values()].some(
       (generation) => generation.state !== 'ended' && generation.reader === undefined,
     );
   }
 
-  private heldBy(generation: types.Generation): number {
-    return generation.order.promptTokens + generation.produced;
+  private memoryTokensOf(generation: types.Generation): number {
+    return generation.request.promptTokens + generation.producedTokens;
   }
 
   private scheduleStep(): void {
@@ -191,54 +192,55 @@
     }
     this.stepScheduled = true;
     this.admit();
-    const duration = this.stepDuration();
+    const duration = this.computePrefill();
     this.onStep?.(duration);
     this.time.after(duration, () => {
       this.stepScheduled = false;
       if (!this.frozen) {
-        this.step();
+        this.runStep();
         this.scheduleStep();
       }
     });
   }
 
-  /** Computes prompts within the step's budget, and returns how long the step takes. */
-  private stepDuration(): number {
+  /** Runs the prefill within the token budget of the step and returns the duration of the step. */
+  private computePrefill(): number {
     const { stepBase, stepPerRunning, prefillPerToken, prefillPerStep } = this.options;
     let budget = prefillPerStep;
     for (const generation of this.running) {
-      const computed = Math.min(budget, generation.toCompute);
-      generation.toCompute -= computed;
-      budget -= computed;
+      const computedTokens = Math.min(budget, generation.tokensToCompute);
+      generation.tokensToCompute -= computedTokens;
+      budget -= computedTokens;
     }
     return stepBase + stepPerRunning * this.running.length + prefillPerToken * (prefillPerStep - budget);
   }
 
   private admit(): void {
-    for (let head = this.waiting[0]; head !== undefined; head = this.waiting[0]) {
-      const needed = this.heldBy(head) + 1;
-      const fits = (): boolean =>
-        this.running.length < this.options.slots && this.usedTokens + needed <= this.options.memoryTokens;
-      while (!fits() && this.preemptBelow(head.order.priority)) {
-        // Room is made until the more urgent one fits.
+    for (let candidate = this.waiting[0]; candidate !== undefined; candidate = this.waiting[0]) {
+      const neededTokens = this.memoryTokensOf(candidate) + 1;
+      const hasCapacity = (): boolean =>
+        this.running.length < this.options.slots &&
+        this.usedTokens + neededTokens <= this.options.memoryTokens;
+      while (!hasCapacity() && this.preemptBelow(candidate.request.priority)) {
+        // Preempt until the generation with the higher priority fits.
       }
-      if (!fits()) {
+      if (!hasCapacity()) {
         return;
       }
       this.waiting.shift();
-      head.state = 'running';
-      this.running.push(head);
-      this.usedTokens += this.heldBy(head);
-      this.remember(head.order.prefix);
+      candidate.state = 'running';
+      this.running.push(candidate);
+      this.usedTokens += this.memoryTokensOf(candidate);
+      this.cachePrefix(candidate.request.prefix);
     }
   }
 
-  /** Preempts the newest of the least urgent generations that is less urgent than `priority`. */
+  /** Preempts the latest arrival of the lowest priority, if that priority is lower than `priority`. */
   private preemptBelow(priority: number): boolean {
     let victim: types.Generation | undefined;
     for (const generation of this.running) {
-      const lower = generation.order.priority > priority;
-      if (lower && (victim === undefined || isPreemptedBefore(generation, victim))) {
+      const isLowerPriority = generation.request.priority > priority;
+      if (isLowerPriority && (victim === undefined || isPreemptedBefore(generation, victim))) {
         victim = generation;
       }
     }
@@ -250,85 +252,89 @@
   }
 
   private preempt(victim: types.Generation): void {
-    const held = this.heldBy(victim);
+    const heldTokens = this.memoryTokensOf(victim);
     this.counts.preemptions += 1;
-    this.counts.wastedTokens += held - victim.toCompute;
+    this.counts.wastedTokens += heldTokens - victim.tokensToCompute;
     this.running = this.running.filter((other) => other !== victim);
-    this.usedTokens -= held;
+    this.usedTokens -= heldTokens;
     victim.state = 'waiting';
-    victim.toCompute = held;
+    victim.tokensToCompute = heldTokens;
     this.enqueue(victim);
   }
 
-  private remember(prefix: string): void {
-    if (prefix === '' || this.cache.has(prefix)) {
+  private cachePrefix(prefix: string): void {
+    if (prefix === '' || this.prefixCache.has(prefix)) {
       return;
     }
-    this.cache.add(prefix);
+    this.prefixCache.add(prefix);
     this.cacheAdded.push(prefix);
-    if (this.cache.size > this.options.cachedPrefixes) {
-      const [oldest = ''] = this.cache;
-      this.cache.delete(oldest);
+    if (this.prefixCache.size > this.options.cachedPrefixes) {
+      const [oldest = ''] = this.prefixCache;
+      this.prefixCache.delete(oldest);
       this.cacheRemoved.push(oldest);
     }
   }
 
-  private step(): void {
-    const growing = this.running.filter((generation) => generation.toCompute === 0).length;
-    let excess = this.usedTokens + growing - this.options.memoryTokens;
-    while (excess > 0 && this.running.length > 1 && this.preemptBelow(Number.NEGATIVE_INFINITY)) {
-      excess = this.usedTokens + growing - this.options.memoryTokens;
+  private runStep(): void {
+    const growingCount = this.running.filter((generation) => generation.tokensToCompute === 0).length;
+    let excessTokens = this.usedTokens + growingCount - this.options.memoryTokens;
+    while (excessTokens > 0 && this.running.length > 1 && this.preemptBelow(Number.NEGATIVE_INFINITY)) {
+      excessTokens = this.usedTokens + growingCount - this.options.memoryTokens;
     }
     for (const generation of [...this.running]) {
-      if (generation.state === 'running' && generation.toCompute === 0) {
-        this.produce(generation);
+      if (generation.state === 'running' && generation.tokensToCompute === 0) {
+        this.produceToken(generation);
       }
     }
   }
 
-  private produce(generation: types.Generation): void {
-    generation.produced += 1;
+  private produceToken(generation: types.Generation): void {
+    generation.producedTokens += 1;
     this.usedTokens += 1;
     this.counts.producedTokens += 1;
-    if (generation.produced >= generation.order.outputTokens) {
+    if (generation.producedTokens >= generation.request.outputTokens) {
       generation.state = 'ended';
       generation.endedAt = this.time.now();
       this.counts.finished += 1;
       this.running = this.running.filter((other) => other !== generation);
-      this.usedTokens -= this.heldBy(generation);
-      this.time.after(ENDED_KEPT, () => {
-        this.generations.delete(generation.order.generation);
+      this.usedTokens -= this.memoryTokensOf(generation);
+      this.time.after(FINISHED_GENERATION_RETENTION, () => {
+        this.generations.delete(generation.request.generation);
       });
     }
-    this.feed(generation);
+    this.deliverTokens(generation);
   }
 
-  private feed(generation: types.Generation): void {
-    const name = generation.order.generation;
-    while (generation.reader !== undefined && !generation.paused && generation.sent < generation.produced) {
-      const index = generation.sent;
-      generation.sent += 1;
+  private deliverTokens(generation: types.Generation): void {
+    const name = generation.request.generation;
+    while (
+      generation.reader !== undefined &&
+      !generation.paused &&
+      generation.sentTokens < generation.producedTokens
+    ) {
+      const index = generation.sentTokens;
+      generation.sentTokens += 1;
       generation.reader.token(name, index);
     }
-    const read = generation.sent >= generation.produced && !generation.paused;
-    if (generation.state === 'ended' && read) {
-      generation.reader?.ended(name, generation.produced);
+    const isDelivered = generation.sentTokens >= generation.producedTokens && !generation.paused;
+    if (generation.state === 'ended' && isDelivered) {
+      generation.reader?.ended(name, generation.producedTokens);
     }
   }
 }
 
 function isPreemptedBefore(left: types.Generation, right: types.Generation): boolean {
-  if (left.order.priority !== right.order.priority) {
-    return left.order.priority > right.order.priority;
+  if (left.request.priority !== right.request.priority) {
+    return left.request.priority > right.request.priority;
   }
   return left.arrival > right.arrival;
 }
 
 /**
- * The text of a token: it names its generation and index, so that a mixed-up answer shows.
+ * Formats the text of a token. It contains the generation and index, so that misrouted or reordered tokens are detected.
  *
- * @param generation - the generation
- * @param index - the token's index
+ * @param generation - name of the generation
+ * @param index - index of the token
  * @returns the text
  * @example
  * ```ts
--- a/packages/standIns/src/service/serviceHttp.ts
+++ b/packages/standIns/src/service/serviceHttp.ts
@@ -1,5 +1,5 @@
 /**
- * The HTTP adapter of the stand-in service.
+ * HTTP server of the simulated service.
  */
 import * as http from 'node:http';
 
@@ -8,9 +8,9 @@
 import type * as serviceModel from './serviceModel.js';
 
 /**
- * Creates the server. `GET /stand-in/runs` tells how often each call ran.
+ * Creates the server. `GET /stand-in/runs` returns how often each call ran.
  *
- * @param model - the service
+ * @param model - the service model
  * @returns the server, not yet listening
  * @example
  * ```ts
@@ -20,7 +20,7 @@
 export function createServer(model: serviceModel.ServiceModel): http.Server {
   return http.createServer((request, response) => {
     if (request.url === '/stand-in/runs') {
-      kumquatfront.httpAnswers.sendJson(response, 200, Object.fromEntries(model.runs));
+      kumquatfront.httpAnswers.sendJson(response, 200, Object.fromEntries(model.runCounts));
       return;
     }
     kumquatfront.httpAnswers.readBody(request, () => {
--- a/packages/standIns/src/upstreamProcess.ts
+++ b/packages/standIns/src/upstreamProcess.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * A stand-in upstream as a process: `upstreamProcess.js '{"kind":"engine",...}'`.
+ * Runs a simulated upstream as a process: `upstreamProcess.js '{"kind":"engine",...}'`.
  */
 import type * as http from 'node:http';
 import type * as net from 'node:net';
@@ -11,12 +11,12 @@
 import * as httpPoster from './announcer/httpPoster.js';
 import * as engineHttp from './engine/engineHttp.js';
 import * as engineModel from './engine/engineModel.js';
-import * as orderBook from './engine/orderBook.js';
+import * as orderReceiver from './engine/orderReceiver.js';
 import type * as engineTypes from './engine/types.js';
 import * as serviceHttp from './service/serviceHttp.js';
 import * as serviceModel from './service/serviceModel.js';
 
-/** What the process is told on its command line. */
+/** Options in the JSON command-line argument. */
 export interface UpstreamProcessOptions {
   readonly kind: 'engine' | 'plainService';
   readonly name: string;
@@ -27,15 +27,15 @@
   readonly labels: Readonly<Record<string, string>>;
   readonly entries: readonly string[];
   readonly upstreamKey: string;
-  /** Only for engines. */
+  /** Engine options; ignored for plain services. */
   readonly engine?: Omit<engineTypes.EngineOptions, 'name'>;
 }
 
-const LEASE = 4_000;
-const ANNOUNCE_EVERY = 1_000;
-const REPORT_EVERY = 500;
+const ANNOUNCEMENT_LEASE = 4_000;
+const ANNOUNCEMENT_INTERVAL = 1_000;
+const REPORT_INTERVAL = 500;
 const REPORT_LAG = 200;
-const CACHE_LOSS = 0.1;
+const CACHE_EVENT_LOSS_SHARE = 0.1;
 
 interface Upstream {
   readonly server: http.Server;
@@ -47,13 +47,13 @@
   options: UpstreamProcessOptions,
   timers: kumquatfront.timerService.TimerService,
 ): Upstream {
-  const engineOptions = { name: options.name, ...DEFAULT_ENGINE, ...options.engine };
+  const engineOptions = { name: options.name, ...DEFAULT_ENGINE_OPTIONS, ...options.engine };
   const model = new engineModel.EngineModel(engineOptions, timers);
-  const server = engineHttp.createServer({ model, orders: new orderBook.OrderBook(true) });
-  return { server, load: () => model.load(), cacheChanges: () => model.takeCacheChanges() };
+  const server = engineHttp.createServer({ model, orderReceiver: new orderReceiver.OrderReceiver(true) });
+  return { server, load: () => model.load(), cacheChanges: () => model.drainCacheChanges() };
 }
 
-const DEFAULT_ENGINE: Omit<engineTypes.EngineOptions, 'name'> = {
+const DEFAULT_ENGINE_OPTIONS: Omit<engineTypes.EngineOptions, 'name'> = {
   memoryTokens: 6_000,
   slots: 16,
   stepBase: 12,
@@ -78,10 +78,10 @@
   const timers = kumquatfront.timerService.create(clock, scheduler);
   const random = kumquatfront.seededRandom.createUnpredictable();
   const upstream = options.kind === 'engine' ? createEngine(options, timers) : createService();
-  const engine = { ...DEFAULT_ENGINE, ...options.engine };
+  const engine = { ...DEFAULT_ENGINE_OPTIONS, ...options.engine };
   upstream.server.listen(options.port, options.host, () => {
     const { port } = upstream.server.address() as net.AddressInfo;
-    const own = new announcer.Announcer({
+    const upstreamAnnouncer = new announcer.Announcer({
       announcement: {
         name: options.name,
         incarnation: clock.wall(),
@@ -91,21 +91,21 @@
         dataCentre: options.dataCentre,
         memoryTokens: options.kind === 'engine' ? engine.memoryTokens : 0,
         slots: options.kind === 'engine' ? engine.slots : 0,
-        lease: LEASE,
+        lease: ANNOUNCEMENT_LEASE,
       },
       timers,
       random,
-      announceEvery: ANNOUNCE_EVERY,
-      reportEvery: REPORT_EVERY,
+      announceEvery: ANNOUNCEMENT_INTERVAL,
+      reportEvery: REPORT_INTERVAL,
       reportLag: REPORT_LAG,
-      cacheLoss: CACHE_LOSS,
+      cacheLoss: CACHE_EVENT_LOSS_SHARE,
       load: upstream.load,
       cacheChanges: upstream.cacheChanges,
       isFrozen: () => false,
       post: httpPoster.create({ entries: options.entries, upstreamKey: options.upstreamKey, random }),
     });
     process.once('SIGTERM', () => {
-      own.leave();
+      upstreamAnnouncer.sendTerminationNotice();
     });
   });
 }
--- a/packages/standIns/src/weightStore/weightStoreModel.ts
+++ b/packages/standIns/src/weightStore/weightStoreModel.ts
@@ -1,29 +1,29 @@
 /**
- * A stand-in for the weight store: it refuses loads beyond its rate.
+ * Simulates the store of model weights; it rejects loads above its rate limit.
  */
 
 const MINUTE = 60_000;
 
-/** The store. */
+/** Simulated weight store. */
 export class WeightStoreModel {
-  refused = 0;
-  private readonly perMinute: number;
+  refusedLoads = 0;
+  private readonly loadsPerMinute: number;
   private readonly now: () => number;
-  private times: number[] = [];
+  private recentLoadTimes: number[] = [];
 
   constructor(perMinute: number, now: () => number) {
-    this.perMinute = perMinute;
+    this.loadsPerMinute = perMinute;
     this.now = now;
   }
 
-  /** True where the load may begin. */
-  load(): boolean {
-    this.times = this.times.filter((time) => time > this.now() - MINUTE);
-    if (this.times.length >= this.perMinute) {
-      this.refused += 1;
+  /** Starts a load; returns false when the rate limit is reached. */
+  tryLoad(): boolean {
+    this.recentLoadTimes = this.recentLoadTimes.filter((time) => time > this.now() - MINUTE);
+    if (this.recentLoadTimes.length >= this.loadsPerMinute) {
+      this.refusedLoads += 1;
       return false;
     }
-    this.times.push(this.now());
+    this.recentLoadTimes.push(this.now());
     return true;
   }
 }
