--- a/packages/command/src/applyFile.ts
+++ b/packages/command/src/applyFile.ts
@@ -1,19 +1,19 @@
 /**
- * Applies a configuration file: what is missing is created, what differs is changed, what is equal is left.
+ * Applies a configuration file: creates missing objects, changes those that differ and leaves equal ones unchanged.
  */
 import * as kumquatfront from 'kumquatfront';
 
 import type * as operatorClient from './operatorClient.js';
 
-/** What became of one object of the file. */
+/** Result of applying one object of the file. */
 export interface AppliedObject {
   readonly object: string;
   readonly action: 'created' | 'changed' | 'unchanged';
   readonly version: number;
 }
 
-/** Kinds in the order in which they refer to each other. */
-const ORDER: readonly kumquatfront.configurationTypes.ConfigurationKind[] = [
+/** Kinds in dependency order: a kind refers only to kinds before it. */
+const APPLY_ORDER: readonly kumquatfront.configurationTypes.ConfigurationKind[] = [
   'limits',
   'objective',
   'market',
@@ -58,16 +58,16 @@
     }
     drafts.push(draft);
   }
-  drafts.sort((left, right) => ORDER.indexOf(left.kind) - ORDER.indexOf(right.kind));
+  drafts.sort((left, right) => APPLY_ORDER.indexOf(left.kind) - APPLY_ORDER.indexOf(right.kind));
   return kumquatfront.results.Ok(drafts);
 }
 
 /**
- * Applies drafts one after another; stops at the first that is refused.
+ * Applies drafts one after another; stops at the first that control refuses.
  *
- * @param client - the operators' client
- * @param drafts - what the file says
- * @returns what became of each, or the failure of the first that was refused
+ * @param client - client for control
+ * @param drafts - the parsed objects of the file
+ * @returns the result for each object, or the failure of the first that was refused
  * @example
  * ```ts
  * const applied = await applyFile.apply(client, drafts);
@@ -88,20 +88,20 @@
   return kumquatfront.results.Ok(applied);
 }
 
-/** What applying one object would do, and on which version. */
+/** Action that applying one object would take, and the version it would replace. */
 export interface PlannedObject {
   readonly object: string;
   readonly action: AppliedObject['action'];
-  /** Version that the change would be made on; 0 where the object is new. */
+  /** Version that the change would replace; 0 for a new object. */
   readonly onVersion: number;
 }
 
 /**
- * Finds out what applying drafts would do.
+ * Compares drafts with the stored objects without changing anything.
  *
- * @param client - the operators' client
- * @param drafts - what the file says
- * @returns what would become of each
+ * @param client - client for control
+ * @param drafts - the parsed objects of the file
+ * @returns the action that applying would take for each object
  * @example
  * ```ts
  * const planned = await applyFile.plan(client, drafts);
--- a/packages/command/src/burnPage.ts
+++ b/packages/command/src/burnPage.ts
@@ -1,5 +1,5 @@
 /**
- * The burn report as one HTML page with plots, drawn by `d3-scale` and `d3-shape`; it loads nothing.
+ * Renders the burn report as a self-contained HTML page with SVG plots.
  */
 import * as scales from 'd3-scale';
 import * as shapes from 'd3-shape';
@@ -10,7 +10,7 @@
 const HEIGHT = 140;
 const MARGIN = 32;
 
-function escape(text: string): string {
+function escapeHtml(text: string): string {
   return text
     .replaceAll('&', '&amp;')
     .replaceAll('<', '&lt;')
@@ -18,7 +18,7 @@
     .replaceAll('"', '&quot;');
 }
 
-function plot(objective: burnReport.ObjectiveBurn): string {
+function renderPlot(objective: burnReport.ObjectiveBurn): string {
   const { series } = objective;
   const highest = Math.max(2, ...series.map((point) => point.burn));
   const x = scales.scaleLinear([0, series.length - 1], [MARGIN, WIDTH - 8]);
@@ -35,7 +35,7 @@
     )
     .join('');
   return [
-    `<svg viewBox="0 0 ${WIDTH} ${HEIGHT}" role="img" aria-label="Burn of ${escape(objective.name)} by minute">`,
+    `<svg viewBox="0 0 ${WIDTH} ${HEIGHT}" role="img" aria-label="Burn of ${escapeHtml(objective.name)} by minute">`,
     ticks,
     `<path class="budget" d="M${MARGIN},${y(1)}H${WIDTH - 8}"/>`,
     `<path class="burn" d="${line([...series]) ?? ''}"/>`,
@@ -44,7 +44,7 @@
   ].join('');
 }
 
-function section(objective: burnReport.ObjectiveBurn): string {
+function renderSection(objective: burnReport.ObjectiveBurn): string {
   const { name, objective: body, windows } = objective;
   const cells = windows
     .map(
@@ -53,7 +53,7 @@
     )
     .join('');
   const target = `${body.urgency} ${body.measure} under ${body.threshold} ms for ${(body.share * 100).toFixed(2)}%`;
-  return `<section><h2>${escape(name)}</h2><p>${escape(target)}</p><table><tr>${cells}</tr></table>${plot(objective)}</section>`;
+  return `<section><h2>${escapeHtml(name)}</h2><p>${escapeHtml(target)}</p><table><tr>${cells}</tr></table>${renderPlot(objective)}</section>`;
 }
 
 const STYLE =
@@ -62,16 +62,16 @@
   'td{padding:4px 16px 4px 0}.over{color:#b00;font-weight:bold}small{color:#555;font-weight:normal}';
 
 /**
- * Renders the page.
+ * Renders the HTML page.
  *
  * @param report - the report
- * @returns HTML
+ * @returns the HTML document
  * @example
  * ```ts
  * fs.writeFileSync('burn.html', burnPage.render(report));
  * ```
  */
 export function render(report: readonly burnReport.ObjectiveBurn[]): string {
-  const sections = report.map(section).join('');
-  return `<!doctype html><html lang="en"><meta charset="utf-8"><title>Service-level burn</title><style>${STYLE}</style><h1>Service-level burn</h1><p>Share of bad calls over the share that the objective allows; the dashed line uses the budget up exactly.</p>${sections}</html>\n`;
+  const sections = report.map(renderSection).join('');
+  return `<!doctype html><html lang="en"><meta charset="utf-8"><title>Service-level burn</title><style>${STYLE}</style><h1>Service-level burn</h1><p>Share of bad calls divided by the share that the objective allows; the dashed line marks a burn rate of 1.</p>${sections}</html>\n`;
 }
--- a/packages/command/src/burnReport.ts
+++ b/packages/command/src/burnReport.ts
@@ -1,10 +1,10 @@
 /**
- * How fast the error budgets of the objectives burn: the share of bad calls in a window over the share that
- * the objective allows. A burn of 1 uses the budget up exactly; 14 in an hour is worth waking somebody.
+ * Computes error budget burn rates: the share of bad calls in a window divided by the share that the objective allows.
+ * A burn rate of 1 uses the budget up exactly.
  */
 import type * as kumquatfront from 'kumquatfront';
 
-/** Burn of one objective in one window. */
+/** Burn rate of one objective over one time window. */
 export interface WindowBurn {
   readonly window: string;
   readonly good: number;
@@ -12,25 +12,28 @@
   readonly burn: number;
 }
 
-/** Burn of one objective. */
+/** Burn rates of one objective. */
 export interface ObjectiveBurn {
   readonly name: string;
   readonly objective: kumquatfront.configurationTypes.ObjectiveBody;
   readonly windows: readonly WindowBurn[];
-  /** Burn by minute over the longest plotted window, oldest first. */
+  /** Burn rate per minute over the plotted period, oldest first. */
   readonly series: readonly { readonly minute: number; readonly burn: number }[];
 }
 
 const MINUTE = 60_000;
-const WINDOWS: Readonly<Record<string, number>> = { '5m': 5, '1h': 60, '6h': 360, '24h': 1_440 };
+const WINDOW_MINUTES: Readonly<Record<string, number>> = { '5m': 5, '1h': 60, '6h': 360, '24h': 1_440 };
 const PLOTTED_MINUTES = 60;
 
-type Counts = ReadonlyMap<number, kumquatfront.burnRecorder.BurnCount>;
+type CountsByMinute = ReadonlyMap<number, kumquatfront.burnRecorder.BurnCount>;
 
-/** Adds up the counts of all entries. */
-function merge(all: readonly kumquatfront.burnRecorder.BurnCounts[], name: string): Counts {
+/** Sums the counts of all entries for one objective, by minute. */
+function mergeCounts(
+  countsByEntry: readonly kumquatfront.burnRecorder.BurnCounts[],
+  name: string,
+): CountsByMinute {
   const merged = new Map<number, kumquatfront.burnRecorder.BurnCount>();
-  for (const counts of all) {
+  for (const counts of countsByEntry) {
     for (const [minute, count] of Object.entries(counts[name] ?? {})) {
       const sum = merged.get(Number(minute)) ?? { good: 0, bad: 0 };
       merged.set(Number(minute), { good: sum.good + count.good, bad: sum.bad + count.bad });
@@ -39,12 +42,18 @@
   return merged;
 }
 
-function burnOf(good: number, bad: number, share: number): number {
+function burnRate(good: number, bad: number, share: number): number {
   const total = good + bad;
   return total === 0 ? 0 : bad / total / (1 - share);
 }
 
-function windowBurn(counts: Counts, window: string, minutes: number, now: number, share: number): WindowBurn {
+function burnInWindow(
+  counts: CountsByMinute,
+  window: string,
+  minutes: number,
+  now: number,
+  share: number,
+): WindowBurn {
   let good = 0;
   let bad = 0;
   for (const [minute, count] of counts) {
@@ -53,16 +62,16 @@
       bad += count.bad;
     }
   }
-  return { window, good, bad, burn: burnOf(good, bad, share) };
+  return { window, good, bad, burn: burnRate(good, bad, share) };
 }
 
 /**
- * Makes the report.
+ * Computes the burn rates of all objectives.
  *
  * @param objectives - the configured objectives
- * @param all - the counts of each entry
- * @param wall - milliseconds since 1970
- * @returns the burn of each objective
+ * @param countsByEntry - good and bad calls by objective and minute, one item per entry
+ * @param wallTime - current time in milliseconds since the Unix epoch
+ * @returns the burn rates of each objective
  * @example
  * ```ts
  * const report = burnReport.create(objectives, counts, clock.wall());
@@ -70,24 +79,24 @@
  */
 export function create(
   objectives: readonly kumquatfront.configurationTypes.ConfigurationObject[],
-  all: readonly kumquatfront.burnRecorder.BurnCounts[],
-  wall: number,
+  countsByEntry: readonly kumquatfront.burnRecorder.BurnCounts[],
+  wallTime: number,
 ): readonly ObjectiveBurn[] {
-  const now = Math.floor(wall / MINUTE);
+  const now = Math.floor(wallTime / MINUTE);
   const report: ObjectiveBurn[] = [];
   for (const object of objectives) {
     if (object.kind !== 'objective') {
       continue;
     }
-    const counts = merge(all, object.name);
+    const counts = mergeCounts(countsByEntry, object.name);
     const { share } = object.body;
-    const windows = Object.entries(WINDOWS).map(([window, minutes]) =>
-      windowBurn(counts, window, minutes, now, share),
+    const windows = Object.entries(WINDOW_MINUTES).map(([window, minutes]) =>
+      burnInWindow(counts, window, minutes, now, share),
     );
     const series = Array.from({ length: PLOTTED_MINUTES }, (_, position) => {
       const minute = now - PLOTTED_MINUTES + 1 + position;
       const { good, bad } = counts.get(minute) ?? { good: 0, bad: 0 };
-      return { minute, burn: burnOf(good, bad, share) };
+      return { minute, burn: burnRate(good, bad, share) };
     });
     report.push({ name: object.name, objective: object.body, windows, series });
   }
@@ -95,17 +104,17 @@
 }
 
 /**
- * The report as rows of a table.
+ * Formats the report as table rows.
  *
  * @param report - the report
- * @returns the rows
+ * @returns the header row and one row per objective
  * @example
  * ```ts
  * table.render(burnReport.rows(report));
  * ```
  */
 export function rows(report: readonly ObjectiveBurn[]): readonly (readonly string[])[] {
-  const windows = Object.keys(WINDOWS);
+  const windows = Object.keys(WINDOW_MINUTES);
   return [
     ['OBJECTIVE', 'MEASURE', 'THRESHOLD', 'SHARE', ...windows.map((window) => `BURN ${window}`), 'CALLS 24h'],
     ...report.map(({ name, objective, windows: burns }) => [
--- a/packages/command/src/commandRunner.ts
+++ b/packages/command/src/commandRunner.ts
@@ -1,5 +1,5 @@
 /**
- * How commands run: each returns what it has to show; `run` prints it and sets the exit code.
+ * Runs commands: each command returns its output, which is printed before the exit code is set.
  */
 import * as kumquatfront from 'kumquatfront';
 
@@ -9,22 +9,24 @@
 /** Exit codes; docs/operations/command.md lists them. */
 export const exitCodes = { done: 0, refused: 1, usage: 2, unreachable: 3 } as const;
 
-/** What a command has to show: a table for people, a value for programs. */
-export interface Shown {
+/** Output of a command: table rows for people, a value for programs. */
+export interface CommandOutput {
   readonly rows: readonly (readonly string[])[];
   readonly value: unknown;
-  /** Where set, the command ends with this code instead of 0. */
+  /** Exit code to use instead of 0. */
   readonly exitCode?: number;
 }
 
-/** What a command works with. */
+/** Client and output format that a command runs with. */
 export interface CommandContext {
   readonly client: operatorClient.OperatorClient;
   readonly output: 'table' | 'json';
 }
 
-/** A shown value, or why there is none. */
-export type CommandResult = Promise<kumquatfront.results.Result<Shown, kumquatfront.failures.Failure>>;
+/** Output of a command, or the failure that prevented it. */
+export type CommandResult = Promise<
+  kumquatfront.results.Result<CommandOutput, kumquatfront.failures.Failure>
+>;
 
 interface GlobalOptions {
   readonly control: string;
@@ -32,22 +34,23 @@
 }
 
 /**
- * Prints what a command has to show.
+ * Prints the output of a command to the standard output.
  *
- * @param shown - the table and the value
- * @param output - which of the two
+ * @param commandOutput - the table rows and the value
+ * @param output - which of the two to print
  * @example
  * ```ts
- * commandRunner.print(shown, 'json');
+ * commandRunner.print(commandOutput, 'json');
  * ```
  */
-export function print(shown: Shown, output: GlobalOptions['output']): void {
-  const text = output === 'json' ? JSON.stringify(shown.value, null, 2) : table.render(shown.rows);
+export function print(commandOutput: CommandOutput, output: GlobalOptions['output']): void {
+  const text =
+    output === 'json' ? JSON.stringify(commandOutput.value, null, 2) : table.render(commandOutput.rows);
   process.stdout.write(`${text}\n`);
 }
 
-function finish(
-  result: kumquatfront.results.Result<Shown, kumquatfront.failures.Failure>,
+function reportResult(
+  result: kumquatfront.results.Result<CommandOutput, kumquatfront.failures.Failure>,
   output: GlobalOptions['output'],
 ): void {
   if (result.ok) {
@@ -57,12 +60,13 @@
   }
   const failure = result.val;
   process.stderr.write(`${kumquatfront.failures.describe(failure)}\n`);
-  const silent = failure.kind === 'unreachable' || failure.kind === 'noQuorum' || failure.kind === 'timeout';
-  process.exitCode = silent ? exitCodes.unreachable : exitCodes.refused;
+  const isUnavailable =
+    failure.kind === 'unreachable' || failure.kind === 'noQuorum' || failure.kind === 'timeout';
+  process.exitCode = isUnavailable ? exitCodes.unreachable : exitCodes.refused;
 }
 
 /**
- * Runs a command that talks to control.
+ * Runs a command that sends requests to control, prints its output and sets the exit code.
  *
  * @param options - the global options
  * @param command - the command
@@ -78,10 +82,14 @@
   const control = options.control.split(',').filter((address) => address !== '');
   const key = process.env.KUMQUATFRONT_OPERATOR_KEY ?? '';
   if (control.length === 0 || key === '') {
-    const remedy = 'Give --control ip:port,... or KUMQUATFRONT_CONTROL, and KUMQUATFRONT_OPERATOR_KEY.';
-    finish(
+    const remedy = 'Set --control ip:port,... or KUMQUATFRONT_CONTROL, and KUMQUATFRONT_OPERATOR_KEY.';
+    reportResult(
       kumquatfront.results.Err(
-        kumquatfront.failures.create('badInput', 'Control or its key is not named.', remedy),
+        kumquatfront.failures.create(
+          'badInput',
+          'The control addresses or the operator key are not set.',
+          remedy,
+        ),
       ),
       options.output,
     );
@@ -94,12 +102,12 @@
     random: kumquatfront.seededRandom.createUnpredictable(),
     time: kumquatfront.systemTime,
   });
-  finish(await command({ client, output: options.output }), options.output);
+  reportResult(await command({ client, output: options.output }), options.output);
   await client.close();
 }
 
 /**
- * Runs a command that needs no control.
+ * Runs a command that does not contact control, prints its output and sets the exit code.
  *
  * @param options - the global options
  * @param command - the command
@@ -110,7 +118,7 @@
  */
 export function runWithoutControl(
   options: Pick<GlobalOptions, 'output'>,
-  command: () => kumquatfront.results.Result<Shown, kumquatfront.failures.Failure>,
+  command: () => kumquatfront.results.Result<CommandOutput, kumquatfront.failures.Failure>,
 ): void {
-  finish(command(), options.output);
+  reportResult(command(), options.output);
 }
--- a/packages/command/src/configurationCommands.ts
+++ b/packages/command/src/configurationCommands.ts
@@ -1,16 +1,16 @@
 /**
- * Commands on configuration.
+ * Commands that read and change the configuration.
  */
 import * as applyFile from './applyFile.js';
 import * as commandRunner from './commandRunner.js';
 import * as inputFile from './inputFile.js';
 
 /**
- * `apply -f FILE`
+ * `apply -f FILE`: applies a configuration file.
  *
  * @param context - client and output
  * @param file - the configuration file
- * @returns what became of each object
+ * @returns the action taken for each object
  * @example
  * ```ts
  * await configurationCommands.apply(context, 'market.json');
@@ -35,11 +35,11 @@
 }
 
 /**
- * `diff -f FILE`; ends with 1 where something differs.
+ * `diff -f FILE`: shows what `apply` would do; exits with code 1 if any object differs.
  *
  * @param context - client and output
  * @param file - the configuration file
- * @returns what applying the file would do
+ * @returns the action that `apply` would take for each object
  * @example
  * ```ts
  * await configurationCommands.diff(context, 'market.json');
@@ -62,11 +62,11 @@
 }
 
 /**
- * `get KIND [NAME]`
+ * `get KIND [NAME]`: shows configured objects.
  *
  * @param context - client and output
  * @param kind - kind of object
- * @param name - one object; all of the kind where absent
+ * @param name - name of the object; if undefined, all objects of the kind
  * @returns the objects
  * @example
  * ```ts
@@ -89,12 +89,12 @@
 }
 
 /**
- * `delete KIND NAME`
+ * `delete KIND NAME`: deletes an object if it has not changed since it was read.
  *
  * @param context - client and output
  * @param kind - kind of object
- * @param name - its name
- * @returns the version of the deletion
+ * @param name - name of the object
+ * @returns the configuration version that the deletion created
  * @example
  * ```ts
  * await configurationCommands.remove(context, 'market', 'wa-perth');
--- a/packages/command/src/explain/cause.ts
+++ b/packages/command/src/explain/cause.ts
@@ -1,26 +1,26 @@
 /**
- * Says in a sentence why a request ended as it did.
+ * Derives from a request's log lines a short text that explains how the request ended.
  */
 import type * as logLine from './logLine.js';
-import type * as requestStory from './requestStory.js';
+import type * as requestTimeline from './requestTimeline.js';
 
 type Lines = readonly logLine.LogLine[];
 
-/** Signals of upstreams that a cause names; the latest decide. */
-const MOST_SIGNALS = 5;
+/** Maximum number of back-pressure signals listed in an explanation; the latest are kept. */
+const MAXIMUM_SIGNALS = 5;
 
-function last(lines: Lines, event: string): logLine.LogLine | undefined {
+function lastLineOf(lines: Lines, event: string): logLine.LogLine | undefined {
   return lines.filter((line) => line.event === event).at(-1);
 }
 
-function seconds(milliseconds: string | undefined): string {
+function formatSeconds(milliseconds: string | undefined): string {
   return `${(Number(milliseconds ?? 0) / 1_000).toFixed(2)} s`;
 }
 
-/** The state of the coordinator that refused, as it logged it last. */
-function crowding(lines: Lines): string {
-  const refusal = last(lines, 'placementRefused');
-  const state = last(
+/** Load of the coordinator that refused the request, from the last state it logged. */
+function describeLoad(lines: Lines): string {
+  const refusal = lastLineOf(lines, 'placementRefused');
+  const state = lastLineOf(
     lines.filter((line) => line.process === refusal?.process),
     'coordinatorState',
   );
@@ -39,26 +39,26 @@
   );
 }
 
-/** The ends that were held against the request's content, by whom and when. */
-function ofQuarantine(lines: Lines, ran: boolean): string {
-  const held = lines.filter((line) => line.event === 'crashHeld');
-  const ends = held.map(
+/** Lists the crashes recorded for the request's content, with the process that detected each and the time. */
+function describeQuarantine(lines: Lines, ran: boolean): string {
+  const crashLines = lines.filter((line) => line.event === 'crashHeld');
+  const crashes = crashLines.map(
     ({ fields, process, time }) =>
       `${fields.upstream ?? '?'} (found by ${process} at ${time}, ${fields.sign ?? '?'})`,
   );
-  const since = lines.find((line) => line.event === 'quarantined')?.time;
-  const told = ends.length === 0 ? 'none of these logs tells of them' : ends.join(', ');
-  const when = since === undefined ? '' : ` Quarantined at ${since}.`;
-  const own = ran ? 'It had run before; it was not sent on.' : 'It was turned away; nothing ran.';
-  return `Upstreams have ended under the same content: ${told}.${when} ${own}`;
+  const quarantinedAt = lines.find((line) => line.event === 'quarantined')?.time;
+  const crashList = crashes.length === 0 ? 'none of these logs tells of them' : crashes.join(', ');
+  const when = quarantinedAt === undefined ? '' : ` Quarantined at ${quarantinedAt}.`;
+  const ownRun = ran ? 'It had run before; it was not sent on.' : 'It was turned away; nothing ran.';
+  return `Upstreams have ended under the same content: ${crashList}.${when} ${ownRun}`;
 }
 
-function ofRefusal(lines: Lines, end: logLine.LogLine): string {
-  const { reason = '', message = '' } = end.fields;
+function describeRefusal(lines: Lines, refusal: logLine.LogLine): string {
+  const { reason = '', message = '' } = refusal.fields;
   if (reason === 'quarantined') {
-    return ofQuarantine(lines, false);
+    return describeQuarantine(lines, false);
   }
-  const version = last(lines, 'trafficInForce')?.fields.version ?? 'none';
+  const version = lastLineOf(lines, 'trafficInForce')?.fields.version ?? 'none';
   const causes: Record<string, string> = {
     noConfiguration: 'The entry had just started and had no configuration yet.',
     draining: 'The entry was being stopped, and takes no generation that could outlast it.',
@@ -68,13 +68,13 @@
   return causes[reason] ?? `Refused before a service was chosen: ${message}.`;
 }
 
-/** What upstreams of the service had asked of the entry before it turned the request away. */
-function signals(lines: Lines): string {
-  const told = lines.flatMap(({ event, fields, time }) => {
+/** Lists the pauses and rate limits that upstreams of the service requested before the entry refused the request. */
+function describeSignals(lines: Lines): string {
+  const signals = lines.flatMap(({ event, fields, time }) => {
     const upstream = fields.upstream ?? '?';
     switch (event) {
       case 'upstreamPaused':
-        return [`${upstream} asked for a pause of ${seconds(fields.for)} at ${time}`];
+        return [`${upstream} asked for a pause of ${formatSeconds(fields.for)} at ${time}`];
       case 'upstreamRateLimited':
         return [`${upstream} named a limit of ${fields.perSecond ?? '?'} a second at ${time}`];
       case 'upstreamRateLimitLifted':
@@ -83,59 +83,59 @@
         return [];
     }
   });
-  return told.length === 0 ? '' : ` Before that ${told.slice(-MOST_SIGNALS).join(', ')}.`;
+  return signals.length === 0 ? '' : ` Before that ${signals.slice(-MAXIMUM_SIGNALS).join(', ')}.`;
 }
 
-function ofOverload(lines: Lines, end: logLine.LogLine): string {
-  const refused = last(lines, 'placementRefused');
-  const returned = last(lines, 'callerReturned');
-  if (refused === undefined) {
-    return `Refused: ${end.fields.reason ?? 'no reason logged'}. Nothing ran.${signals(lines)}`;
+function describeOverload(lines: Lines, end: logLine.LogLine): string {
+  const refusal = lastLineOf(lines, 'placementRefused');
+  const retry = lastLineOf(lines, 'callerReturned');
+  if (refusal === undefined) {
+    return `Refused: ${end.fields.reason ?? 'no reason logged'}. Nothing ran.${describeSignals(lines)}`;
   }
-  const again =
-    returned === undefined
+  const earlierRefusal =
+    retry === undefined
       ? ''
-      : ` It had been refused before, ${seconds(returned.fields.firstAsked)} earlier.`;
-  return `No engine had a place within ${seconds(end.fields.milliseconds)}; nothing ran.${again}${crowding(lines)}`;
+      : ` It had been refused before, ${formatSeconds(retry.fields.firstAsked)} earlier.`;
+  return `No engine had a place within ${formatSeconds(end.fields.milliseconds)}; nothing ran.${earlierRefusal}${describeLoad(lines)}`;
 }
 
-function movesOf(lines: Lines): string {
+function describeMoves(lines: Lines): string {
   const moves = lines.filter((line) => line.event === 'moveResult');
   if (moves.length === 0) {
     return 'no move off it was begun';
   }
-  const told = moves.map(
+  const results = moves.map(
     ({ fields }) => `${fields.state ?? '?'}${fields.reason === undefined ? '' : ` (${fields.reason})`}`,
   );
-  return `moves off it: ${told.join(', ')}`;
+  return `moves off it: ${results.join(', ')}`;
 }
 
-function ofInterruption(lines: Lines, end: logLine.LogLine): string {
-  const broken = last(lines, 'streamBroken');
-  if (broken === undefined) {
+function describeInterruption(lines: Lines, end: logLine.LogLine): string {
+  const brokenStream = lastLineOf(lines, 'streamBroken');
+  if (brokenStream === undefined) {
     return `The stream was ended: ${end.fields.reason ?? 'no reason logged'}.`;
   }
-  const engine = broken.fields.upstream ?? '?';
-  const notice = lines.find(
+  const engine = brokenStream.fields.upstream ?? '?';
+  const terminationNotice = lines.find(
     (line) =>
       line.fields.instance === engine &&
       (line.event === 'instanceLeaves' ||
         line.fields.state === 'leaving' ||
         line.fields.change === 'leaving'),
   );
-  if (notice === undefined) {
-    return `Engine ${engine} broke off without notice after event ${broken.fields.lastEvent ?? 'none'} (${broken.fields.reason ?? '?'}).`;
+  if (terminationNotice === undefined) {
+    return `Engine ${engine} broke off without notice after event ${brokenStream.fields.lastEvent ?? 'none'} (${brokenStream.fields.reason ?? '?'}).`;
   }
-  return `Engine ${engine} gave notice at ${notice.time} and was gone at ${broken.time}; ${movesOf(lines)}.`;
+  return `Engine ${engine} gave notice at ${terminationNotice.time} and was gone at ${brokenStream.time}; ${describeMoves(lines)}.`;
 }
 
-function ofAnswer(lines: Lines, end: logLine.LogLine): string {
+function describeAnswer(lines: Lines, end: logLine.LogLine): string {
   const { fields } = end;
   if (fields.firstEvent === undefined) {
-    return `Answered with status ${fields.status ?? '?'} by ${fields.upstream ?? '?'} in ${seconds(fields.milliseconds)}.`;
+    return `Answered with status ${fields.status ?? '?'} by ${fields.upstream ?? '?'} in ${formatSeconds(fields.milliseconds)}.`;
   }
-  const waited = last(lines, 'placed')?.fields.waited;
-  return `Answered by ${fields.upstream ?? '?'}: first event after ${seconds(fields.firstEvent)}, of which ${seconds(waited)} waiting for a place; longest pause ${seconds(fields.longestPause)}, ${fields.moves ?? '0'} moves.`;
+  const waited = lastLineOf(lines, 'placed')?.fields.waited;
+  return `Answered by ${fields.upstream ?? '?'}: first event after ${formatSeconds(fields.firstEvent)}, of which ${formatSeconds(waited)} waiting for a place; longest pause ${formatSeconds(fields.longestPause)}, ${fields.moves ?? '0'} moves.`;
 }
 
 const OTHER_OUTCOMES: Readonly<Record<string, string>> = {
@@ -146,42 +146,42 @@
 };
 
 /**
- * The cause.
+ * Explains how a request ended.
  *
- * @param story - the request's story, with at least one line
- * @returns a sentence or two
+ * @param timeline - log lines of the request, at least one
+ * @returns one or two sentences
  * @example
  * ```ts
- * cause.of(requestStory.collect(identity, logs));
+ * cause.describe(requestTimeline.collect(identity, logs));
  * ```
  */
-export function of(story: requestStory.RequestStory): string {
-  const { lines } = story;
-  const refused = last(lines, 'requestRefused');
-  const end = last(lines, 'requestEnded');
+export function describe(timeline: requestTimeline.RequestTimeline): string {
+  const { lines } = timeline;
+  const refusal = lastLineOf(lines, 'requestRefused');
+  const end = lastLineOf(lines, 'requestEnded');
   if (end === undefined) {
-    return refused === undefined
+    return refusal === undefined
       ? 'Its end is in none of these logs: add those of all entries, or its process was killed.'
-      : ofRefusal(lines, refused);
+      : describeRefusal(lines, refusal);
   }
   const { outcome = '' } = end.fields;
   if (outcome === 'answered') {
-    return ofAnswer(lines, end);
+    return describeAnswer(lines, end);
   }
   if (outcome === 'overloaded') {
-    return ofOverload(lines, end);
+    return describeOverload(lines, end);
   }
   if (outcome === 'noUpstream') {
     return `No instance of the service could be sent it: ${end.fields.reason ?? 'no reason logged'}.`;
   }
   if (
     outcome === 'quarantined' ||
-    (outcome === 'outcomeUnknown' && last(lines, 'quarantined') !== undefined)
+    (outcome === 'outcomeUnknown' && lastLineOf(lines, 'quarantined') !== undefined)
   ) {
-    return ofQuarantine(lines, outcome === 'outcomeUnknown');
+    return describeQuarantine(lines, outcome === 'outcomeUnknown');
   }
   if (outcome === 'interrupted') {
-    return ofInterruption(lines, end);
+    return describeInterruption(lines, end);
   }
   return OTHER_OUTCOMES[outcome] ?? `It ended as ${outcome}: ${end.fields.reason ?? 'no reason logged'}.`;
 }
--- a/packages/command/src/explain/explain.spec.ts
+++ b/packages/command/src/explain/explain.spec.ts
@@ -1,12 +1,12 @@
 /**
- * Requests explained from logs, on lines as entries and control write them.
+ * Explaining requests from log lines in the format that entries and control replicas write.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
 
 import * as cause from './cause.js';
 import * as logLine from './logLine.js';
-import * as requestStory from './requestStory.js';
+import * as requestTimeline from './requestTimeline.js';
 
 const at = (second: number): string => `time=2026-01-01T00:00:${second.toFixed(3).padStart(6, '0')}Z`;
 
@@ -29,38 +29,38 @@
 ].join('\n');
 
 function explain(request: string): string {
-  return cause.of(requestStory.collect(request, [ENTRY, CONTROL]));
+  return cause.describe(requestTimeline.collect(request, [ENTRY, CONTROL]));
 }
 
-void test.test('a refusal is explained by what the coordinator believed', () => {
+void test.test('a refusal is explained by the state that the coordinator logged', () => {
   const sentence = explain('r1');
   assert.match(sentence, /nothing ran/);
   assert.match(sentence, /Of 2 engines 1 could be used, 4 generations waited/);
 });
 
-void test.test('a broken stream is explained by the notice and the move that failed', () => {
+void test.test('a broken stream is explained by the termination notice and the failed move', () => {
   const sentence = explain('r2');
   assert.match(sentence, /i-a gave notice at 2026-01-01T00:00:02.000Z/);
   assert.match(sentence, /unmoved \(noRoom\)/);
 });
 
-void test.test('an engine that crashed is told from one that left', () => {
+void test.test('a crashed engine is distinguished from one that gave a termination notice', () => {
   assert.match(explain('r4'), /i-b broke off without notice after event 3/);
 });
 
-// The entry saw the notice; the replica that took it logged it elsewhere.
-void test.test('a notice that only the entry logged counts', () => {
+// The log of the control replica that received the termination notice is missing; the entry's log has it.
+void test.test('a termination notice that only the entry logged is used', () => {
   const seen = `${at(4.5)} process=entry-1 level=info event=instancesSeen control=c revisionBefore=3 revision=5 found="i-c|llm|b" leaving="i-a i-b"`;
-  const sentence = cause.of(requestStory.collect('r4', [ENTRY, seen]));
+  const sentence = cause.describe(requestTimeline.collect('r4', [ENTRY, seen]));
   assert.match(sentence, /i-b gave notice at .*04.500Z .*no move off it was begun/);
 });
 
-void test.test('a missing route is explained by the version in force', () => {
+void test.test('a missing route is explained by the configuration version in force', () => {
   assert.match(explain('r3'), /version 7, has no such route/);
 });
 
-void test.test('the story holds the lines of both processes in order, and no others', () => {
-  const { lines } = requestStory.collect('r2', [ENTRY, CONTROL]);
+void test.test('the timeline contains the lines of both processes in order, and no others', () => {
+  const { lines } = requestTimeline.collect('r2', [ENTRY, CONTROL]);
   const events = lines.map((line) => line.event);
   assert.deepEqual(events.slice(-5), [
     'instanceHeard',
@@ -72,19 +72,19 @@
   assert.ok(!events.includes('requestRefused'));
 });
 
-void test.test('a request that no log names has no lines', () => {
-  assert.equal(requestStory.collect('r9', [ENTRY, CONTROL]).lines.length, 0);
+void test.test('a request that is in no log has no lines', () => {
+  assert.equal(requestTimeline.collect('r9', [ENTRY, CONTROL]).lines.length, 0);
 });
 
-// A process was killed while it wrote: the last line ends in the middle of a value.
-void test.test('a line that was cut off still tells what it has', () => {
+// A process that is killed while it writes leaves a last line that ends within a value.
+void test.test('the complete fields of a truncated line are parsed', () => {
   const line = logLine.parse(`${at(1)} process=e level=info event=requestRefused request=r reason="no rou`);
   assert.equal(line?.fields.request, 'r');
   assert.equal(logLine.parse('not one of ours'), undefined);
 });
 
-// Its caller asks why it was turned away: the ends were found by two other entries, under other attempts.
-void test.test('a request that is quarantined is explained by the ends held against its content', () => {
+// The crashes were detected by two other entries, for other attempts with the same content.
+void test.test('a quarantined request is explained by the crashes recorded for its content', () => {
   const others = [
     `${at(6)} process=entry-2 level=info event=crashHeld request=r7 content=c1 upstream=i-a sign=refusesConnections ends=1 verdict=suspected`,
     `${at(7)} process=entry-3 level=info event=crashHeld request=r8 content=c1 upstream=i-b sign=fellSilent ends=3 verdict=quarantined`,
@@ -95,33 +95,33 @@
     `${at(8)} process=entry-1 level=info event=requestQuarantined request=r6 content=c1 ended="i-a i-b" timeLeft=3599000`,
     `${at(8)} process=entry-1 level=info event=requestRefused request=r6 reason=quarantined message="upstreams ended"`,
   ];
-  const story = requestStory.collect('r6', [own.join('\n'), others.join('\n')]);
-  const sentence = cause.of(story);
+  const timeline = requestTimeline.collect('r6', [own.join('\n'), others.join('\n')]);
+  const sentence = cause.describe(timeline);
   assert.match(sentence, /i-a \(found by entry-2 at 2026-01-01T00:00:06.000Z, refusesConnections\), i-b/);
   assert.match(sentence, /Quarantined at 2026-01-01T00:00:07.100Z. It was turned away; nothing ran./);
-  assert.equal(story.lines.filter((line) => line.fields.content === 'c2').length, 0);
+  assert.equal(timeline.lines.filter((line) => line.fields.content === 'c2').length, 0);
 });
 
-// Its own run was under the last of those ends.
-void test.test('an attempt that ran before the quarantine says so', () => {
+// The request was running on the upstream whose crash caused the quarantine.
+void test.test('the explanation of a quarantined request states that it had run', () => {
   const own = [
     `${at(7)} process=entry-1 level=info event=crashHeld request=r8 content=c1 upstream=i-b sign=refusesConnections ends=3 verdict=quarantined`,
     `${at(7)} process=entry-1 level=warn event=quarantined content=c1 ended="i-a i-b i-c"`,
     `${at(7)} process=entry-1 level=info event=requestEnded request=r8 content=c1 outcome=outcomeUnknown reason="upstreams ended" sends=2 milliseconds=1100`,
   ];
   assert.match(
-    cause.of(requestStory.collect('r8', [own.join('\n')])),
+    cause.describe(requestTimeline.collect('r8', [own.join('\n')])),
     /It had run before; it was not sent on/,
   );
 });
 
-// A data centre is evacuated and the engines of another one have come back cold: the rest is not room enough.
-void test.test('a refusal tells of evacuated data centres and cold engines', () => {
+// One engine is in an evacuated data centre and another is cold; the remaining capacity is not sufficient.
+void test.test('the explanation of a refusal counts evacuated and cold engines', () => {
   const state = `${at(1)} process=control-1 level=info event=coordinatorState waiting=4 placed=9 engines="i-a:8:90% i-b:1:20%:leaving i-c:2:9%:evacuated i-d:1:5%:cold"`;
   const refused = `${at(1.2)} process=control-1 level=info event=placementRefused request=r5 reason="no place came free in time" retryAfter=700`;
   const end = `${at(1.21)} process=entry-1 level=info event=requestEnded request=r5 route=r service=llm version=7 outcome=overloaded reason="no place came free in time" sends=0 milliseconds=216`;
-  const sentence = cause.of(
-    requestStory.collect(
+  const sentence = cause.describe(
+    requestTimeline.collect(
       'r5',
       [state, refused, end].map((line) => `${line}\n`),
     ),
@@ -131,19 +131,19 @@
   assert.match(sentence, /1 were cold and got no more than they tolerate/);
 });
 
-void test.test('a call without an upstream tells why there was none', () => {
+void test.test('a request without an available upstream is explained by the logged reason', () => {
   const end = `${at(1.21)} process=entry-1 level=info event=requestEnded request=r6 route=r service=app version=7 outcome=noUpstream reason="every upstream that could take it is in an evacuated data centre" sends=0 milliseconds=1`;
-  assert.match(cause.of(requestStory.collect('r6', [end])), /in an evacuated data centre/);
+  assert.match(cause.describe(requestTimeline.collect('r6', [end])), /in an evacuated data centre/);
 });
 
-void test.test('a refusal is explained by what upstreams had asked of the entry', () => {
+void test.test('a refusal is explained by the pauses and rate limits that upstreams requested', () => {
   const log = [
     `${at(1)} process=entry-1 level=info event=upstreamPaused upstream=i-a service=app for=3000 asked=3000`,
     `${at(1.5)} process=entry-1 level=info event=upstreamRateLimited upstream=i-b service=app perSecond=1.9`,
     `${at(1.6)} process=entry-1 level=info event=upstreamPaused upstream=i-z service=other for=9000 asked=9000`,
     `${at(2)} process=entry-1 level=info event=requestEnded request=r5 route=r service=app outcome=overloaded reason="every upstream that could take it has asked for a pause" sends=0 milliseconds=1`,
   ].join('\n');
-  const sentence = cause.of(requestStory.collect('r5', [log]));
+  const sentence = cause.describe(requestTimeline.collect('r5', [log]));
   assert.match(sentence, /has asked for a pause. Nothing ran/);
   assert.match(sentence, /i-a asked for a pause of 3.00 s/);
   assert.match(sentence, /i-b named a limit of 1.9 a second/);
--- a/packages/command/src/explain/logLine.ts
+++ b/packages/command/src/explain/logLine.ts
@@ -1,18 +1,19 @@
 /**
- * Lines of our processes' logs: `key=value` pairs, values with other than plain characters as JSON strings.
+ * Parses the logs of entries and control replicas: lines of `key=value` pairs, where values with special characters are
+ * JSON strings.
  */
 import * as kumquatfront from 'kumquatfront';
 
-/** One line, read. */
+/** One parsed log line. */
 export interface LogLine {
-  /** ISO 8601; sorts as text. */
+  /** ISO 8601, so that times compare as strings. */
   readonly time: string;
   readonly process: string;
   readonly event: string;
   readonly fields: Readonly<Record<string, string>>;
 }
 
-const PAIR = /([A-Za-z]+)=("(?:[^"\\]|\\.)*"|\S+)/g;
+const KEY_VALUE_PAIR = /([A-Za-z]+)=("(?:[^"\\]|\\.)*"|\S+)/g;
 
 function unquote(value: string): string {
   if (!value.startsWith('"')) {
@@ -21,16 +22,16 @@
   try {
     return JSON.parse(value) as string;
   } catch {
-    // A line that was cut off in the middle of a value still tells what it has.
+    // The value of a truncated line has no closing quote; the part that was written is kept.
     return value.slice(1);
   }
 }
 
 /**
- * Reads a line.
+ * Parses one log line.
  *
- * @param text - the line; what stands before its first pair is left out
- * @returns the line; undefined where it is none of ours
+ * @param text - the line; text before the first pair is ignored
+ * @returns the parsed line, or undefined if it lacks a required field
  * @example
  * ```ts
  * logLine.parse('time=2026-01-01T00:00:00.000Z process=entry-1 level=info event=started');
@@ -38,7 +39,7 @@
  */
 export function parse(text: string): LogLine | undefined {
   const fields: Record<string, string> = {};
-  for (const [, key = '', value = ''] of text.matchAll(PAIR)) {
+  for (const [, key = '', value = ''] of text.matchAll(KEY_VALUE_PAIR)) {
     fields[key] ??= unquote(value);
   }
   const { time, process, event, level, ...rest } = fields;
@@ -48,16 +49,16 @@
   return { time, process, event, fields: rest };
 }
 
-/** Events of an instance that a line of several may tell of; see the entry's `instancesSeen`. */
-const CHANGES = ['found', 'leaving', 'gone', 'replaced'];
+/** Fields of an `instancesSeen` line, each of which lists the instances with that change. */
+const INSTANCE_CHANGES = ['found', 'leaving', 'gone', 'replaced'];
 
-/** A line about several instances as one line for each, named `instanceSeen`; any other line as it is. */
-function expand(line: LogLine): readonly LogLine[] {
+/** Splits an `instancesSeen` line into one `instanceSeen` line per instance; returns other lines unchanged. */
+function splitByInstance(line: LogLine): readonly LogLine[] {
   if (line.event !== 'instancesSeen') {
     return [line];
   }
   const { control = '' } = line.fields;
-  return CHANGES.flatMap((change) => {
+  return INSTANCE_CHANGES.flatMap((change) => {
     const listed = line.fields[change]?.split(' ') ?? [];
     return listed.map((text) => {
       const [instance = '', service = '', address = ''] = text.split(kumquatfront.instanceLog.PART_SEPARATOR);
@@ -66,26 +67,26 @@
   });
 }
 
-/** Orders lines by time without reading it, as ISO 8601 allows. */
-export function byTime(left: LogLine, right: LogLine): number {
+/** Comparison function that sorts lines by time. */
+export function compareByTime(left: LogLine, right: LogLine): number {
   return left.time < right.time ? -1 : left.time > right.time ? 1 : 0;
 }
 
 /**
- * Reads whole logs.
+ * Parses complete logs.
  *
- * @param texts - one log for each process, or mixed
- * @returns their lines in order of time, those about several instances as one for each
+ * @param texts - texts of the logs; a text may mix the lines of several processes
+ * @returns the parsed lines in order of time, `instancesSeen` lines split by instance
  * @example
  * ```ts
- * logLine.readAll([entryLog, controlLog]);
+ * logLine.parseLogs([entryLog, controlLog]);
  * ```
  */
-export function readAll(texts: readonly string[]): readonly LogLine[] {
+export function parseLogs(texts: readonly string[]): readonly LogLine[] {
   return texts
     .flatMap((text) => text.split('\n'))
     .map(parse)
     .filter((line) => line !== undefined)
-    .flatMap(expand)
-    .sort(byTime);
+    .flatMap(splitByInstance)
+    .sort(compareByTime);
 }
--- a/packages/command/src/inputFile.ts
+++ b/packages/command/src/inputFile.ts
@@ -1,15 +1,15 @@
 /**
- * Files that commands are given.
+ * Reads the files that are passed to commands.
  */
 import * as fs from 'node:fs';
 
 import * as kumquatfront from 'kumquatfront';
 
 /**
- * Reads a file.
+ * Reads one text file.
  *
- * @param file - its path
- * @returns its text, or a `notFound` failure
+ * @param file - path of the file
+ * @returns the text of the file, or a `notFound` failure
  * @example
  * ```ts
  * inputFile.read('market.json').andThen(applyFile.parse);
@@ -19,17 +19,17 @@
   if (!fs.existsSync(file)) {
     const remedy = 'Give the path of an existing file.';
     return kumquatfront.results.Err(
-      kumquatfront.failures.create('notFound', `There is no file ${file}.`, remedy),
+      kumquatfront.failures.create('notFound', `File ${file} does not exist.`, remedy),
     );
   }
   return kumquatfront.results.Ok(fs.readFileSync(file, 'utf8'));
 }
 
 /**
- * Reads files.
+ * Reads several text files.
  *
- * @param files - their paths
- * @returns their texts in order, or the failure of the first that cannot be read
+ * @param files - paths of the files
+ * @returns the texts in the order of the paths, or the failure of the first file that cannot be read
  * @example
  * ```ts
  * inputFile.readAll(['entry-1.log', 'control-1.log']);
--- a/packages/command/src/ledger/ledger.ts
+++ b/packages/command/src/ledger/ledger.ts
@@ -1,51 +1,51 @@
 /**
- * `ledger LOGFILE...`: what was asked on an evening and how it ended, by service, cause and second.
+ * `ledger LOGFILE...`: counts requests by how they ended, by service, cause and second.
  */
 import * as kumquatfront from 'kumquatfront';
 
 import type * as commandRunner from '../commandRunner.js';
 import * as inputFile from '../inputFile.js';
-import * as accounts from './accounts.js';
+import * as ledgerReport from './ledgerReport.js';
 import * as requestEnding from './requestEnding.js';
 
-/** Seconds that the table shows: those in which most was refused, lost or failed. */
-const WORST_SECONDS = 8;
+/** Maximum number of seconds in the table; those with most refused, lost and failed requests are shown. */
+const MAXIMUM_WORST_SECONDS = 8;
 
 const COLUMNS = ['ASKED', ...requestEnding.ENDINGS.map((ending) => ending.toUpperCase())];
 
-function rowOf({ name, asked, counts }: accounts.Account): readonly string[] {
+function toRow({ name, asked, counts }: ledgerReport.EndingTotals): readonly string[] {
   return [name, String(asked), ...requestEnding.ENDINGS.map((ending) => String(counts[ending]))];
 }
 
-function unserved({ counts }: accounts.Account): number {
+function countUnserved({ counts }: ledgerReport.EndingTotals): number {
   return counts.refused + counts.lost + counts.failed;
 }
 
-function worstOf(seconds: readonly accounts.Account[]): readonly accounts.Account[] {
+function worstSeconds(seconds: readonly ledgerReport.EndingTotals[]): readonly ledgerReport.EndingTotals[] {
   return seconds
-    .filter((second) => unserved(second) > 0)
-    .sort((left, right) => unserved(right) - unserved(left))
-    .slice(0, WORST_SECONDS);
+    .filter((second) => countUnserved(second) > 0)
+    .sort((left, right) => countUnserved(right) - countUnserved(left))
+    .slice(0, MAXIMUM_WORST_SECONDS);
 }
 
-function table(sums: accounts.Accounts): readonly (readonly string[])[] {
+function toTable(report: ledgerReport.LedgerReport): readonly (readonly string[])[] {
   return [
     ['SERVICE', ...COLUMNS],
-    ...sums.kinds.map(rowOf),
+    ...report.kinds.map(toRow),
     ['WORST SECOND', ...COLUMNS],
-    ...worstOf(sums.seconds).map(rowOf),
-    // The cause stands in the first column, which is wide already: in another it would push all numbers apart.
+    ...worstSeconds(report.seconds).map(toRow),
+    // Ending and cause share the first column: a long cause in another column would widen the columns of counts.
     ['ENDING AND CAUSE', 'COUNT'],
-    ...sums.causes.map(({ ending, cause, count }) => [`${ending}: ${cause}`, String(count)]),
+    ...report.causes.map(({ ending, cause, count }) => [`${ending}: ${cause}`, String(count)]),
   ];
 }
 
 /**
- * Adds up an evening.
+ * Counts the requests in log files.
  *
- * @param files - logs of entries and control
- * @param rules - what counts as late
- * @returns the accounts; `notFound` where no log tells of a request
+ * @param files - paths of the logs of entries and control replicas
+ * @param thresholds - times above which an answer counts as late
+ * @returns the counts, or `notFound` if no log line describes a request
  * @example
  * ```ts
  * ledger.run(['entry-1.log', 'control-1.log'], { firstEvent: 1_800, pause: 180 });
@@ -53,15 +53,15 @@
  */
 export function run(
   files: readonly string[],
-  rules: requestEnding.LateRules,
-): kumquatfront.results.Result<commandRunner.Shown, kumquatfront.failures.Failure> {
+  thresholds: requestEnding.LatenessThresholds,
+): kumquatfront.results.Result<commandRunner.CommandOutput, kumquatfront.failures.Failure> {
   return inputFile.readAll(files).andThen((texts) => {
-    const sums = accounts.of(texts, rules);
-    if (sums.asked === 0) {
-      const remedy = 'Give the logs that entries and control write to their standard output.';
-      const message = 'No line of these files tells of a request.';
+    const report = ledgerReport.create(texts, thresholds);
+    if (report.asked === 0) {
+      const remedy = 'Give the logs that entries and control replicas write to their standard output.';
+      const message = 'No line of these files describes a request.';
       return kumquatfront.results.Err(kumquatfront.failures.create('notFound', message, remedy));
     }
-    return kumquatfront.results.Ok({ rows: table(sums), value: sums });
+    return kumquatfront.results.Ok({ rows: toTable(report), value: report });
   });
 }
--- a/packages/command/src/ledger/requestEnding.ts
+++ b/packages/command/src/ledger/requestEnding.ts
@@ -1,19 +1,19 @@
 /**
- * How one attempt of a caller ended, read from the logs of entries and control.
+ * Classifies how an attempt of a caller ended, from the log lines of entries and control replicas.
  */
 import type * as logLine from '../explain/logLine.js';
 
 /**
- * `timedOut` where the route's timeout ended a request that was running, `notOwed` where the configuration has no such
- * route or key, `open` where the logs end before the request does.
+ * How an attempt ended. `timedOut`: the route's timeout expired while the request was running. `notOwed`: the
+ * configuration has no such route or key. `open`: the logs end before the request does.
  *
- * The two first are apart from what was lost and refused: operators try changed timeouts, routes and keys out, and
- * thousands of such tries would hide the few requests that the system itself did not serve.
+ * `timedOut` and `notOwed` are separate from `lost` and `refused` because they result from the configuration, not from a
+ * fault of the system.
  */
 export type Ending =
   'answered' | 'late' | 'failed' | 'refused' | 'lost' | 'timedOut' | 'callerLeft' | 'notOwed' | 'open';
 
-/** All of them, in the order of the table. */
+/** All endings, in the order of the table columns. */
 export const ENDINGS: readonly Ending[] = [
   'answered',
   'late',
@@ -26,30 +26,30 @@
   'open',
 ];
 
-/** One attempt. */
+/** Classification of one attempt. */
 export interface RequestEnding {
   readonly request: string;
-  /** Empty where it ended before a service was chosen. */
+  /** Empty if the attempt ended before a service was chosen. */
   readonly service: string;
   /** Rank of a generation; empty for other requests. */
   readonly rank: string;
-  /** When it came, as ISO 8601 in whole seconds. */
+  /** Second in which the attempt arrived, as ISO 8601. */
   readonly second: string;
   readonly ending: Ending;
-  /** Why it is neither answered in time nor open; empty for those. */
+  /** Reason for the ending; empty for `answered` and `open`. */
   readonly cause: string;
 }
 
-/** From when on an answer counts as late. Times are milliseconds. */
-export interface LateRules {
+/** Times in milliseconds above which a streamed answer counts as late. */
+export interface LatenessThresholds {
   /** Time to the first event of a stream. */
   readonly firstEvent: number;
-  /** Longest time between two events. */
+  /** Time between two consecutive events of a stream. */
   readonly pause: number;
 }
 
-/** Outcomes that say that nothing ran. */
-const NOT_RUN = new Set([
+/** Logged outcomes of requests that did not run on any upstream. */
+const NOT_RUN_OUTCOMES = new Set([
   'overloaded',
   'noUpstream',
   'quarantined',
@@ -58,93 +58,99 @@
   'noConfiguration',
 ]);
 
-/** Outcomes and reasons by which the configuration in force does not allow the request. */
-const NOT_OWED = new Set(['noRoute', 'unknownKey']);
+/** Logged outcomes and reasons of requests for which the configuration has no route or key. */
+const NOT_CONFIGURED_OUTCOMES = new Set(['noRoute', 'unknownKey']);
 
-/** Outcomes after which nobody knows whether it ran, or a part of the answer is missing. */
-const LOST = new Set(['interrupted', 'outcomeUnknown']);
+/** Logged outcomes of requests that may have run, or whose answer is incomplete. */
+const LOST_OUTCOMES = new Set(['interrupted', 'outcomeUnknown']);
 
-const FIRST_FAILURE_STATUS = 500;
+const MINIMUM_FAILURE_STATUS = 500;
 
-function secondOf(time: string, before: number): string {
-  const moment = Date.parse(time) - before;
-  return Number.isNaN(moment) ? time : new Date(moment).toISOString().slice(0, 19);
+function startSecond(time: string, elapsed: number): string {
+  const startTime = Date.parse(time) - elapsed;
+  return Number.isNaN(startTime) ? time : new Date(startTime).toISOString().slice(0, 19);
 }
 
-function judge(fields: logLine.LogLine['fields'], rules: LateRules): { ending: Ending; cause: string } {
+function classify(
+  fields: logLine.LogLine['fields'],
+  thresholds: LatenessThresholds,
+): { ending: Ending; cause: string } {
   const { outcome = '', reason = '', status = '200' } = fields;
   if (outcome === 'callerGone') {
     return { ending: 'callerLeft', cause: 'the caller went away' };
   }
-  if (NOT_OWED.has(outcome)) {
+  if (NOT_CONFIGURED_OUTCOMES.has(outcome)) {
     return { ending: 'notOwed', cause: outcome };
   }
   if (outcome === 'timeoutUnknown') {
     return { ending: 'timedOut', cause: reason === '' ? outcome : reason };
   }
-  if (NOT_RUN.has(outcome)) {
+  if (NOT_RUN_OUTCOMES.has(outcome)) {
     return { ending: 'refused', cause: reason === '' ? outcome : `${outcome}: ${reason}` };
   }
-  if (LOST.has(outcome)) {
+  if (LOST_OUTCOMES.has(outcome)) {
     return { ending: 'lost', cause: reason === '' ? outcome : `${outcome}: ${reason}` };
   }
-  if (Number(status) >= FIRST_FAILURE_STATUS) {
+  if (Number(status) >= MINIMUM_FAILURE_STATUS) {
     return { ending: 'failed', cause: `the upstream answered ${status}` };
   }
-  if (Number(fields.firstEvent ?? 0) > rules.firstEvent) {
+  if (Number(fields.firstEvent ?? 0) > thresholds.firstEvent) {
     return { ending: 'late', cause: 'the first event came late' };
   }
-  if (Number(fields.longestPause ?? 0) > rules.pause) {
+  if (Number(fields.longestPause ?? 0) > thresholds.pause) {
     return { ending: 'late', cause: 'a pause between two events' };
   }
   return { ending: 'answered', cause: '' };
 }
 
 /**
- * Reads the ending of a request from its last line.
+ * Classifies a request by its final log line.
  *
- * @param line - any line
- * @param rules - what counts as late
- * @returns the ending; undefined where the line ends no request
+ * @param line - any log line
+ * @param thresholds - times above which an answer counts as late
+ * @returns the ending, or undefined if the line is not the final line of a request
  * @example
  * ```ts
- * requestEnding.of(line, { firstEvent: 1_800, pause: 180 });
+ * requestEnding.fromLogLine(line, { firstEvent: 1_800, pause: 180 });
  * ```
  */
-export function of(line: logLine.LogLine, rules: LateRules): RequestEnding | undefined {
+export function fromLogLine(
+  line: logLine.LogLine,
+  thresholds: LatenessThresholds,
+): RequestEnding | undefined {
   const { event, fields, time } = line;
   const { request = '', service = '', rank = '' } = fields;
   if (event === 'requestEnded') {
-    const second = secondOf(time, Number(fields.milliseconds ?? 0));
-    return { request, service, rank, second, ...judge(fields, rules) };
+    const second = startSecond(time, Number(fields.milliseconds ?? 0));
+    return { request, service, rank, second, ...classify(fields, thresholds) };
   }
   if (event === 'requestRefused') {
     const cause = fields.reason ?? 'refused';
-    const ending = NOT_OWED.has(cause) ? 'notOwed' : 'refused';
-    return { request, service, rank, second: secondOf(time, 0), ending, cause };
+    const ending = NOT_CONFIGURED_OUTCOMES.has(cause) ? 'notOwed' : 'refused';
+    return { request, service, rank, second: startSecond(time, 0), ending, cause };
   }
   return undefined;
 }
 
 /**
- * The ending of a generation that was placed and of which no entry says how it ended.
+ * Classifies a generation that was placed but has no final log line.
  *
- * @param placed - the coordinator's line
- * @param restartedAt - when its entry started again after that; undefined where the logs show no such start
- * @param service - whose engine it was placed on; empty where the logs do not tell
- * @returns lost with its entry, or open
+ * @param placed - the coordinator's log line about the placement
+ * @param restartedAt - time at which the entry restarted after the placement; undefined if the logs show no restart
+ * @param service - service of the engine it was placed on; empty if unknown
+ * @returns `lost` if the entry restarted, else `open`
  * @example
  * ```ts
- * requestEnding.withoutEnd(line, '2026-01-01T00:00:09.000Z', 'llm');
+ * requestEnding.fromPlacement(line, '2026-01-01T00:00:09.000Z', 'llm');
  * ```
  */
-export function withoutEnd(
+export function fromPlacement(
   placed: logLine.LogLine,
   restartedAt: string | undefined,
   service: string,
 ): RequestEnding {
   const { request = '' } = placed.fields;
-  const base = { request, service, rank: '', second: secondOf(placed.time, 0) };
+  const base = { request, service, rank: '', second: startSecond(placed.time, 0) };
   return restartedAt === undefined
     ? { ...base, ending: 'open', cause: '' }
     : { ...base, ending: 'lost', cause: 'its entry ended' };
--- a/packages/command/src/localCommands.ts
+++ b/packages/command/src/localCommands.ts
@@ -1,5 +1,5 @@
 /**
- * Commands that need no control.
+ * Commands that run locally, without contacting control.
  */
 import * as kumquatfront from 'kumquatfront';
 
@@ -8,10 +8,10 @@
 import * as inputFile from './inputFile.js';
 
 /**
- * `check settings FILE`
+ * `check settings FILE`: validates a settings file of an entry or a control replica.
  *
- * @param file - a settings file
- * @returns word that it is sound
+ * @param file - path of the settings file
+ * @returns the role that the settings are for, or the first fault found
  * @example
  * ```ts
  * localCommands.checkSettings('entry-1.json');
@@ -19,22 +19,22 @@
  */
 export function checkSettings(
   file: string,
-): kumquatfront.results.Result<commandRunner.Shown, kumquatfront.failures.Failure> {
+): kumquatfront.results.Result<commandRunner.CommandOutput, kumquatfront.failures.Failure> {
   return inputFile.read(file).andThen((text) => {
     const { readEntry, readControl } = kumquatfront.settingsLoader;
     const isControl = text.includes('"control":') && !text.includes('"entry":');
     const checked = isControl
       ? readControl(text, file).map(() => 'control')
       : readEntry(text, file).map(() => 'entry');
-    return checked.map((role) => ({ rows: [[`${file}: sound settings of ${role}`]], value: { file, role } }));
+    return checked.map((role) => ({ rows: [[`${file}: valid settings of ${role}`]], value: { file, role } }));
   });
 }
 
 /**
- * `check configuration FILE`
+ * `check configuration FILE`: validates a configuration file.
  *
- * @param file - a configuration file
- * @returns word that it is sound
+ * @param file - path of the configuration file
+ * @returns the number of objects, or the first fault found
  * @example
  * ```ts
  * localCommands.checkConfiguration('market.json');
@@ -42,18 +42,18 @@
  */
 export function checkConfiguration(
   file: string,
-): kumquatfront.results.Result<commandRunner.Shown, kumquatfront.failures.Failure> {
+): kumquatfront.results.Result<commandRunner.CommandOutput, kumquatfront.failures.Failure> {
   return inputFile
     .read(file)
     .andThen(applyFile.parse)
     .map((drafts) => ({
-      rows: [[`${file}: ${drafts.length} sound objects`]],
+      rows: [[`${file}: ${drafts.length} valid objects`]],
       value: { file, objects: drafts.length },
     }));
 }
 
 /**
- * `hash KEY`
+ * `hash KEY`: computes the hash that identifies a key in the configuration.
  *
  * @param key - a bearer key
  * @returns its hash
@@ -64,7 +64,7 @@
  */
 export function hash(
   key: string,
-): kumquatfront.results.Result<commandRunner.Shown, kumquatfront.failures.Failure> {
+): kumquatfront.results.Result<commandRunner.CommandOutput, kumquatfront.failures.Failure> {
   const value = kumquatfront.trafficResolver.hashKey(key);
   return kumquatfront.results.Ok({ rows: [[value]], value: { hash: value } });
 }
--- a/packages/command/src/main.ts
+++ b/packages/command/src/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The `kumquatfront` command for operators.
+ * Entry point of the `kumquatfront` command-line tool for operators.
  */
 import * as yargs from 'yargs';
 
@@ -15,7 +15,7 @@
   .default(process.argv.slice(2))
   .scriptName('kumquatfront')
   .usage(
-    '$0 <command>\n\nControl is found by --control or KUMQUATFRONT_CONTROL, the key by KUMQUATFRONT_OPERATOR_KEY.',
+    '$0 <command>\n\nSet the control addresses with --control or KUMQUATFRONT_CONTROL, the operator key with KUMQUATFRONT_OPERATOR_KEY.',
   )
   .option('control', {
     type: 'string',
@@ -43,7 +43,7 @@
   )
   .command(
     'diff',
-    'Show what applying a file would change',
+    'Show what applying a configuration file would change',
     (builder) =>
       builder.option('file', {
         alias: 'f',
@@ -75,47 +75,55 @@
   )
   .command(
     'status',
-    'Show control replicas, entries, and where which version is in force',
+    'Show control replicas, entries and the configuration version in force at each entry',
     (builder) => builder,
     (parsed) => commandRunner.run(parsed, systemCommands.status),
   )
   .command(
     'watch',
-    'Show the status again and again until interrupted',
+    'Show the status repeatedly until interrupted',
     (builder) =>
-      builder.option('every', { type: 'number', default: 2_000, describe: 'Milliseconds between looks' }),
+      builder.option('every', {
+        type: 'number',
+        default: 2_000,
+        describe: 'Refresh interval in milliseconds',
+      }),
     (parsed) => commandRunner.run(parsed, (context) => systemCommands.watch(context, parsed.every)),
   )
   .command(
     'addresses',
-    'Show the addresses that an entry gives to callers',
+    'Show the addresses that an entry publishes to callers',
     (builder) =>
-      builder.option('entry', { type: 'string', demandOption: true, describe: 'Any entry: http://ip:port' }),
+      builder.option('entry', {
+        type: 'string',
+        demandOption: true,
+        describe: 'URL of any entry: http://ip:port',
+      }),
     (parsed) => commandRunner.run(parsed, (context) => systemCommands.addresses(context, parsed.entry)),
   )
   .command(
     'drain <entry>',
-    'Have an entry leave the address list and end when its requests have',
+    'Remove an entry from the address list and stop it once its requests have finished',
     (builder) =>
       builder.positional('entry', { type: 'string', demandOption: true, describe: 'Name of the entry' }),
     (parsed) => commandRunner.run(parsed, (context) => systemCommands.drain(context, parsed.entry)),
   )
   .command(
     'evacuate <dataCentre>',
-    'Give the upstreams of a data centre nothing new until it is restored',
+    'Send no new work to the upstreams of a data centre until it is restored',
     (builder) => builder.positional('dataCentre', { type: 'string', demandOption: true }),
     (parsed) =>
       commandRunner.run(parsed, (context) =>
-        systemCommands.orderDataCentre(context, 'evacuate', parsed.dataCentre),
+        systemCommands.changeEvacuation(context, 'evacuate', parsed.dataCentre),
       ),
   )
   .command(
     'restore <dataCentre>',
-    'Give the upstreams of an evacuated data centre work again',
+    'Resume sending work to the upstreams of an evacuated data centre',
     (builder) => builder.positional('dataCentre', { type: 'string', demandOption: true }),
     (parsed) =>
       commandRunner.run(parsed, (context) =>
-        systemCommands.orderDataCentre(context, 'restore', parsed.dataCentre),
+        systemCommands.changeEvacuation(context, 'restore', parsed.dataCentre),
       ),
   )
   .command(
@@ -138,11 +146,12 @@
     builder
       .command(
         'burn',
-        'How fast the error budgets of the objectives burn',
-        (inner) => inner.option('html', { type: 'string', describe: 'Write a page with plots to this file' }),
+        'Show how fast the error budgets of the objectives burn',
+        (inner) =>
+          inner.option('html', { type: 'string', describe: 'Write an HTML page with plots to this file' }),
         (parsed) => commandRunner.run(parsed, (context) => systemCommands.burn(context, parsed.html)),
       )
-      .demandCommand(1, 'Name a report: burn.'),
+      .demandCommand(1, 'Specify a report: burn.'),
   )
   .command('check', 'Checks', (builder) =>
     builder
@@ -162,11 +171,11 @@
           commandRunner.runWithoutControl(parsed, () => localCommands.checkConfiguration(parsed.file));
         },
       )
-      .demandCommand(1, 'Name what to check: settings or configuration.'),
+      .demandCommand(1, 'Specify what to check: settings or configuration.'),
   )
   .command(
     'hash <key>',
-    'Show the hash under which a key is configured',
+    'Show the hash that identifies a key in the configuration',
     (builder) => builder.positional('key', { type: 'string', demandOption: true }),
     (parsed) => {
       commandRunner.runWithoutControl(parsed, () => localCommands.hash(parsed.key));
@@ -174,10 +183,10 @@
   )
   .command(
     'explain <request> <logs..>',
-    'Say why a request ended as it did, from the logs of entries and control',
+    'Explain how a request ended, from the logs of entries and control replicas',
     (builder) =>
       builder
-        .positional('request', { type: 'string', demandOption: true, describe: 'Identity of the attempt' })
+        .positional('request', { type: 'string', demandOption: true, describe: 'Request id of the attempt' })
         .positional('logs', { type: 'string', array: true, demandOption: true, describe: 'Log files' }),
     (parsed) => {
       commandRunner.runWithoutControl(parsed, () => explain.run(parsed.request, parsed.logs));
@@ -185,27 +194,27 @@
   )
   .command(
     'ledger <logs..>',
-    'Add up what was asked and how it ended, from the logs of entries and control',
+    'Count requests by how they ended, from the logs of entries and control replicas',
     (builder) =>
       builder
         .positional('logs', { type: 'string', array: true, demandOption: true, describe: 'Log files' })
         .option('first-event', {
           type: 'number',
           default: 1_800,
-          describe: 'Streams whose first event took longer are late, in milliseconds',
+          describe: 'Streams whose first event takes longer count as late, in milliseconds',
         })
         .option('pause', {
           type: 'number',
           default: 180,
-          describe: 'Streams with a longer pause between two events are late, in milliseconds',
+          describe: 'Streams with a longer pause between two events count as late, in milliseconds',
         }),
     (parsed) => {
-      const rules = { firstEvent: parsed.firstEvent, pause: parsed.pause };
-      commandRunner.runWithoutControl(parsed, () => ledger.run(parsed.logs, rules));
+      const thresholds = { firstEvent: parsed.firstEvent, pause: parsed.pause };
+      commandRunner.runWithoutControl(parsed, () => ledger.run(parsed.logs, thresholds));
     },
   )
   .completion('completion', 'Print a completion script for the shell')
-  .demandCommand(1, 'Name a command; --help lists them.')
+  .demandCommand(1, 'Specify a command; --help lists them.')
   .strict()
   .fail((message, error: Error | undefined) => {
     process.stderr.write(`${error?.message ?? message}\n`);
--- a/packages/command/src/operatorClient.ts
+++ b/packages/command/src/operatorClient.ts
@@ -1,11 +1,11 @@
 /**
- * Talks to control for operators: reads and changes configuration, resends a change whose answer was lost
- * under the same change id, and turns to another replica when one does not answer.
+ * HTTP client for the operator API of control: reads and changes configuration. A request that gets no answer is
+ * retried on the next replica, a change with the same change id, so that it is made only once.
  */
 import * as kumquatfront from 'kumquatfront';
 import * as undici from 'undici';
 
-/** Where control is, and the operators' key. */
+/** Addresses of control, the operator key and the ports that the client needs. */
 export interface OperatorClientOptions {
   /** Operator addresses of the control replicas: `ip:port`. */
   readonly control: readonly string[];
@@ -17,19 +17,19 @@
   };
 }
 
-/** Result of a call of the client. */
-export type Outcome<Value> = kumquatfront.results.Result<Value, kumquatfront.failures.Failure>;
+/** Result of a method of the client. */
+export type ClientResult<Value> = kumquatfront.results.Result<Value, kumquatfront.failures.Failure>;
 
-/** Status of the whole system, as one replica gathers it. */
+/** Status of the whole system, as collected by one replica. */
 export interface SystemStatus {
   readonly replicas: readonly kumquatfront.controlMethods.ControlStatus[];
   readonly silent: readonly string[];
 }
 
 const REQUEST_TIMEOUT = 5_000;
-const TRIES = 12;
-const PAUSE = 300;
-const RETRIED: readonly kumquatfront.failures.FailureKind[] = [
+const MAXIMUM_ATTEMPTS = 12;
+const RETRY_DELAY = 300;
+const RETRYABLE_FAILURES: readonly kumquatfront.failures.FailureKind[] = [
   'noQuorum',
   'timeout',
   'unreachable',
@@ -37,18 +37,18 @@
   'stale',
 ];
 
-/** The client; see the module comment. */
+/** Client for the operator API of control; see the module comment. */
 export class OperatorClient {
   private readonly options: OperatorClientOptions;
   private readonly agent = new undici.Agent({ connect: { timeout: 1_000 } });
-  private position = 0;
+  private addressIndex = 0;
 
   constructor(options: OperatorClientOptions) {
     this.options = options;
   }
 
-  private async once(method: string, path: string, body: unknown): Promise<Outcome<unknown>> {
-    const address = this.options.control[this.position % this.options.control.length] ?? '';
+  private async sendRequest(method: string, path: string, body: unknown): Promise<ClientResult<unknown>> {
+    const address = this.options.control[this.addressIndex % this.options.control.length] ?? '';
     try {
       const response = await undici.request(`http://${address}${path}`, {
         dispatcher: this.agent,
@@ -62,87 +62,98 @@
         ? kumquatfront.results.Ok(answer)
         : kumquatfront.results.Err(answer.error);
     } catch {
-      const remedy = 'Check the address and that the control daemon runs.';
+      const remedy = 'Check the address, and that the control daemon is running.';
       return kumquatfront.results.Err(
-        kumquatfront.failures.create('unreachable', `Control at ${address} does not answer.`, remedy),
+        kumquatfront.failures.create('unreachable', `Control replica ${address} did not respond.`, remedy),
       );
     }
   }
 
-  private async request(method: string, path: string, body?: unknown): Promise<Outcome<unknown>> {
-    let result = await this.once(method, path, body);
-    for (let tries = 1; tries < TRIES && result.err && RETRIED.includes(result.val.kind); tries += 1) {
-      this.position += 1;
+  private async sendWithRetries(
+    method: string,
+    path: string,
+    body?: unknown,
+  ): Promise<ClientResult<unknown>> {
+    let result = await this.sendRequest(method, path, body);
+    for (
+      let attempts = 1;
+      attempts < MAXIMUM_ATTEMPTS && result.err && RETRYABLE_FAILURES.includes(result.val.kind);
+      attempts += 1
+    ) {
+      this.addressIndex += 1;
       await new Promise<void>((resolve) => {
-        this.options.time.scheduler.after(PAUSE, resolve);
+        this.options.time.scheduler.after(RETRY_DELAY, resolve);
       });
-      result = await this.once(method, path, body);
+      result = await this.sendRequest(method, path, body);
     }
     return result;
   }
 
-  /** Objects of a kind, or the one with a name. */
+  /** Reads all objects of a kind, or the one with the given name. */
   async get(
     kind: string,
     name?: string,
-  ): Promise<Outcome<readonly kumquatfront.configurationTypes.ConfigurationObject[]>> {
+  ): Promise<ClientResult<readonly kumquatfront.configurationTypes.ConfigurationObject[]>> {
     const path = name === undefined ? `/v1/configuration/${kind}` : `/v1/configuration/${kind}/${name}`;
-    const result = await this.request('GET', path);
+    const result = await this.sendWithRetries('GET', path);
     return result.map(
       (answer) =>
         (answer as { objects: readonly kumquatfront.configurationTypes.ConfigurationObject[] }).objects,
     );
   }
 
-  /** Changes one object on the version it was read at; a lost answer is asked for again, not a second change. */
+  /** Writes one object if it still has the expected version; retries reuse the change id and change it only once. */
   async put(
     draft: kumquatfront.configurationTypes.ConfigurationDraft,
     expectedVersion: number,
-  ): Promise<Outcome<number>> {
+  ): Promise<ClientResult<number>> {
     const body = { changeId: this.options.random.identity(), expectedVersion, body: draft.body };
-    const result = await this.request('PUT', `/v1/configuration/${draft.kind}/${draft.name}`, body);
+    const result = await this.sendWithRetries('PUT', `/v1/configuration/${draft.kind}/${draft.name}`, body);
     return result.map((answer) => (answer as { version: number }).version);
   }
 
-  /** Deletes one object on the version it was read at. */
-  async delete(kind: string, name: string, expectedVersion: number): Promise<Outcome<number>> {
+  /** Deletes one object if it still has the expected version. */
+  async delete(kind: string, name: string, expectedVersion: number): Promise<ClientResult<number>> {
     const body = { changeId: this.options.random.identity(), expectedVersion };
-    const result = await this.request('DELETE', `/v1/configuration/${kind}/${name}`, body);
+    const result = await this.sendWithRetries('DELETE', `/v1/configuration/${kind}/${name}`, body);
     return result.map((answer) => (answer as { version: number }).version);
   }
 
-  async status(): Promise<Outcome<SystemStatus>> {
-    const result = await this.request('GET', '/v1/status');
+  /** Reads the status of control replicas and entries. */
+  async status(): Promise<ClientResult<SystemStatus>> {
+    const result = await this.sendWithRetries('GET', '/v1/status');
     return result.map((answer) => answer as SystemStatus);
   }
 
-  async order(order: Readonly<Record<string, unknown>>): Promise<Outcome<unknown>> {
-    return this.request('POST', '/v1/orders', order);
+  /** Sends an order to an upstream through control. */
+  async submitOrder(order: Readonly<Record<string, unknown>>): Promise<ClientResult<unknown>> {
+    return this.sendWithRetries('POST', '/v1/orders', order);
   }
 
-  /** Evacuates a data centre or restores it; an answer that was lost is asked for again. */
-  async orderDataCentre(
+  /** Evacuates or restores a data centre; a request whose answer was lost is sent again. */
+  async sendDataCentreCommand(
     command: kumquatfront.agreedTypes.DataCentreCommand,
-  ): Promise<Outcome<kumquatfront.agreedTypes.Evacuations>> {
+  ): Promise<ClientResult<kumquatfront.agreedTypes.Evacuations>> {
     const method = command.type === 'evacuate' ? 'PUT' : 'DELETE';
     const path = `/v1/evacuations/${encodeURIComponent(command.dataCentre)}`;
-    const result = await this.request(method, path);
+    const result = await this.sendWithRetries(method, path);
     return result.map((answer) => answer as kumquatfront.agreedTypes.Evacuations);
   }
 
-  /** Has an entry drain and end. */
-  async drain(entry: string): Promise<Outcome<unknown>> {
-    return this.request('POST', '/v1/drains', { entry });
+  /** Asks an entry to drain and stop. */
+  async drain(entry: string): Promise<ClientResult<unknown>> {
+    return this.sendWithRetries('POST', '/v1/drains', { entry });
   }
 
-  /** Counts against the objectives, of every entry that answers. */
-  async burn(): Promise<Outcome<readonly kumquatfront.burnRecorder.BurnCounts[]>> {
-    const result = await this.request('GET', '/v1/burn');
+  /** Reads the good and bad calls for each objective from every entry that answers. */
+  async readBurnCounts(): Promise<ClientResult<readonly kumquatfront.burnRecorder.BurnCounts[]>> {
+    const result = await this.sendWithRetries('GET', '/v1/burn');
     return result.map(
       (answer) => (answer as { counts: readonly kumquatfront.burnRecorder.BurnCounts[] }).counts,
     );
   }
 
+  /** Closes all connections. */
   async close(): Promise<void> {
     await this.agent.destroy();
   }
--- a/packages/command/src/systemCommands.ts
+++ b/packages/command/src/systemCommands.ts
@@ -1,5 +1,5 @@
 /**
- * Commands on the running system.
+ * Commands that inspect and control the running system.
  */
 import * as fs from 'node:fs';
 
@@ -12,7 +12,7 @@
 import type * as operatorClient from './operatorClient.js';
 
 /**
- * `status`: control replicas, entries, and at how many of them the accepted version is in force.
+ * `status`: shows control replicas, entries, and how many entries have the accepted configuration version in force.
  *
  * @param context - client and output
  * @returns the status
@@ -26,17 +26,17 @@
   return found.map((system) => ({ rows: statusRows(system), value: system }));
 }
 
-/** Whether a replica votes under its present identity, by the word of the leader; a new folder is a new identity. */
-function voteOf(system: operatorClient.SystemStatus, identity: string): string {
+/** Voting state of a replica as the leader reports it. A replica with an emptied data folder gets a new identity. */
+function voteLabel(system: operatorClient.SystemStatus, identity: string): string {
   const leader = system.replicas.find(({ replica }) => replica.role === 'leader');
   const member = leader?.replica.members.find((candidate) => candidate.identity === identity);
   return member?.role === 'voter' ? 'yes' : (member?.role ?? 'no');
 }
 
-/** The newest that any replica knows. */
+/** Evacuations with the highest revision that any replica reports. */
 function latestEvacuations(system: operatorClient.SystemStatus): kumquatfront.agreedTypes.Evacuations {
-  const known = system.replicas.map((replica) => replica.evacuations);
-  return known.reduce((newest, other) => (other.revision > newest.revision ? other : newest), {
+  const reported = system.replicas.map((replica) => replica.evacuations);
+  return reported.reduce((newest, other) => (other.revision > newest.revision ? other : newest), {
     revision: 0,
     dataCentres: [],
   });
@@ -59,25 +59,29 @@
       ];
 }
 
-/** A warning where one data centre holds too many of the voters, by the word of the leader. */
-function spreadRows(system: operatorClient.SystemStatus): readonly (readonly string[])[] {
+/** Warning if control could not survive the loss of one of its data centres, as the leader reports it. */
+function dataCentreLossRows(system: operatorClient.SystemStatus): readonly (readonly string[])[] {
   const leader = system.replicas.find(({ replica }) => replica.role === 'leader');
   const tolerates = leader?.toleratesDataCentreLoss ?? true;
-  return tolerates ? [] : [['control does not outlive the loss of any one data centre: spread its VMs']];
+  return tolerates
+    ? []
+    : [['control may not survive the loss of a data centre: spread its VMs across data centres']];
 }
 
 function statusRows(system: operatorClient.SystemStatus): readonly (readonly string[])[] {
-  const accepted = Math.max(0, ...system.replicas.map((replica) => replica.configurationVersion));
+  const acceptedVersion = Math.max(0, ...system.replicas.map((replica) => replica.configurationVersion));
   const entries = new Map(
     system.replicas.flatMap((replica) => replica.entries.map((entry) => [entry.name, entry])),
   );
-  const inForce = [...entries.values()].filter((entry) => entry.configurationVersion >= accepted).length;
+  const upToDateEntries = [...entries.values()].filter(
+    (entry) => entry.configurationVersion >= acceptedVersion,
+  ).length;
   return [
     ['CONTROL', 'ROLE', 'VOTES', 'TERM', 'APPLIED', 'FRESH', 'STATE'],
     ...system.replicas.map((replica) => [
       replica.name,
       replica.replica.role,
-      voteOf(system, replica.replica.identity),
+      voteLabel(system, replica.replica.identity),
       String(replica.replica.term),
       String(replica.replica.appliedIndex),
       replica.replica.fresh ? 'yes' : 'no',
@@ -96,17 +100,17 @@
     ]),
     [''],
     ...evacuationRows(latestEvacuations(system)),
-    ...spreadRows(system),
-    [`accepted: version ${accepted}; in force at ${inForce} of ${entries.size} entries`],
+    ...dataCentreLossRows(system),
+    [`accepted: version ${acceptedVersion}; in force at ${upToDateEntries} of ${entries.size} entries`],
   ];
 }
 
 /**
- * `watch`: the status again and again.
+ * `watch`: prints the status at a fixed interval.
  *
  * @param context - client and output
- * @param every - milliseconds between looks
- * @returns the last status, once one cannot be had
+ * @param interval - milliseconds between two status requests
+ * @returns the failure of the first status request that fails
  * @example
  * ```ts
  * await systemCommands.watch(context, 2000);
@@ -114,26 +118,26 @@
  */
 export async function watch(
   context: commandRunner.CommandContext,
-  every: number,
+  interval: number,
 ): commandRunner.CommandResult {
   for (;;) {
-    const shown = await status(context);
-    if (shown.err) {
-      return shown;
+    const result = await status(context);
+    if (result.err) {
+      return result;
     }
-    commandRunner.print(shown.val, context.output);
+    commandRunner.print(result.val, context.output);
     await new Promise<void>((resolve) => {
-      kumquatfront.systemTime.scheduler.after(every, resolve);
+      kumquatfront.systemTime.scheduler.after(interval, resolve);
     });
   }
 }
 
 /**
- * `addresses --entry URL`
+ * `addresses --entry URL`: shows the addresses that an entry publishes to callers.
  *
- * @param _context - not needed
- * @param entry - any entry
- * @returns the addresses that it gives to callers
+ * @param _context - unused
+ * @param entry - URL of any entry
+ * @returns the published addresses
  * @example
  * ```ts
  * await systemCommands.addresses(context, 'http://10.0.0.5:8080');
@@ -155,17 +159,17 @@
   } catch {
     const remedy = 'Check the address; `kumquatfront status` lists the entries.';
     return kumquatfront.results.Err(
-      kumquatfront.failures.create('unreachable', `${entry} does not answer.`, remedy),
+      kumquatfront.failures.create('unreachable', `Entry ${entry} did not respond.`, remedy),
     );
   }
 }
 
 /**
- * `drain ENTRY`
+ * `drain ENTRY`: asks an entry to drain and stop.
  *
  * @param context - client and output
  * @param entry - name of the entry
- * @returns word that the entry drains
+ * @returns confirmation that the entry drains
  * @example
  * ```ts
  * await systemCommands.drain(context, 'entry-3');
@@ -186,23 +190,23 @@
 }
 
 /**
- * `evacuate DATACENTRE`, `restore DATACENTRE`
+ * `evacuate DATACENTRE`, `restore DATACENTRE`: stops or resumes new work for the upstreams of a data centre.
  *
  * @param context - client and output
- * @param type - which of the two
+ * @param type - `evacuate` or `restore`
  * @param dataCentre - name of the data centre
- * @returns the data centres that are evacuated afterwards
+ * @returns the data centres that are evacuated after the command
  * @example
  * ```ts
- * await systemCommands.orderDataCentre(context, 'evacuate', 'perth-a');
+ * await systemCommands.sendDataCentreCommand(context, 'evacuate', 'perth-a');
  * ```
  */
-export async function orderDataCentre(
+export async function changeEvacuation(
   context: commandRunner.CommandContext,
   type: kumquatfront.agreedTypes.DataCentreCommand['type'],
   dataCentre: string,
 ): commandRunner.CommandResult {
-  const result = await context.client.orderDataCentre({ type, dataCentre });
+  const result = await context.client.sendDataCentreCommand({ type, dataCentre });
   return result.map((value) => {
     const rows = evacuationRows(value);
     return { rows: rows.length > 0 ? rows : [['no data centre is evacuated']], value };
@@ -210,11 +214,11 @@
 }
 
 /**
- * `order UPSTREAM ACTION TARGET`
+ * `order UPSTREAM ACTION TARGET`: orders an upstream to load a model or an adapter, or to change its role.
  *
  * @param context - client and output
- * @param upstream - who gets the order
- * @param action - what to do
+ * @param upstream - name of the upstream
+ * @param action - `loadModel`, `loadAdapter` or `changeRole`
  * @param target - model, adapter or role
  * @returns the order with its fencing number
  * @example
@@ -229,7 +233,7 @@
   target: string,
 ): commandRunner.CommandResult {
   const orderId = kumquatfront.seededRandom.createUnpredictable().identity();
-  const result = await context.client.order({ orderId, upstream, action, target });
+  const result = await context.client.submitOrder({ orderId, upstream, action, target });
   return result.map((value) => {
     const { fencingNumber } = value as kumquatfront.agreedTypes.Order;
     return {
@@ -243,11 +247,11 @@
 }
 
 /**
- * `report burn [--html FILE]`
+ * `report burn [--html FILE]`: shows how fast the error budgets burn.
  *
  * @param context - client and output
- * @param html - where to write the page with plots
- * @returns the burn of every objective
+ * @param html - path of an HTML page with plots to write, if any
+ * @returns the burn rates of every objective
  * @example
  * ```ts
  * await systemCommands.burn(context, 'burn.html');
@@ -261,7 +265,7 @@
   if (objectives.err) {
     return objectives;
   }
-  const counts = await context.client.burn();
+  const counts = await context.client.readBurnCounts();
   if (counts.err) {
     return counts;
   }
--- a/packages/command/src/table.ts
+++ b/packages/command/src/table.ts
@@ -1,14 +1,14 @@
 /**
- * Tables for people.
+ * Formats tables as plain text.
  */
 
-const GAP = 2;
+const COLUMN_GAP = 2;
 
 /**
- * Renders rows in columns; a row of one cell stands alone and widens nothing.
+ * Aligns rows in columns. A row with a single cell is printed as is and does not affect column widths.
  *
  * @param rows - the rows
- * @returns the text
+ * @returns the table, one line per row
  * @example
  * ```ts
  * table.render([['NAME', 'VERSION'], ['wa-perth', '17']]);
@@ -24,7 +24,7 @@
   return rows
     .map((row) =>
       row
-        .map((cell, column) => cell.padEnd((widths[column] ?? 0) + GAP))
+        .map((cell, column) => cell.padEnd((widths[column] ?? 0) + COLUMN_GAP))
         .join('')
         .trimEnd(),
     )
--- a/packages/daemons/bin/kumquatfront-entry.js
+++ b/packages/daemons/bin/kumquatfront-entry.js
@@ -1,3 +1,3 @@
 #!/usr/bin/env node
-// Stands in the repository so that npm can link the command before the first build.
+// Committed wrapper, so that npm can link the command before the first build.
 import '../dist/entry.js';
--- a/packages/daemons/src/control.ts
+++ b/packages/daemons/src/control.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `kumquatfront-control --settings FILE`
+ * Entry point of `kumquatfront-control --settings FILE`, which runs a control replica until it receives a signal.
  */
 import * as kumquatfront from 'kumquatfront';
 
@@ -9,11 +9,14 @@
 
 const settings = settingsFile.load('kumquatfront-control', kumquatfront.settingsLoader.readControl);
 const started = controlDaemon.start(settings, (reason) => {
-  const remedy = 'Check the disk; restart the process when it is sound, or empty the folder to join anew.';
-  settingsFile.fail(kumquatfront.failures.create('corrupt', `The data folder failed: ${reason}.`, remedy));
+  const remedy =
+    'Check the disk; restart the process when the disk is healthy, or empty the folder to join as a new member.';
+  settingsFile.exitWithFailure(
+    kumquatfront.failures.create('corrupt', `Access to the data folder failed: ${reason}.`, remedy),
+  );
 });
 if (started.err) {
-  settingsFile.fail(started.val);
+  settingsFile.exitWithFailure(started.val);
 } else {
   const stop = (): void => {
     started.val.stop(() => {
--- a/packages/daemons/src/controlDaemon.ts
+++ b/packages/daemons/src/controlDaemon.ts
@@ -1,5 +1,5 @@
 /**
- * The control daemon: reads settings and wires the adapters to a control replica; nothing else.
+ * Composition root of the control daemon: creates a control replica and its adapters from settings.
  */
 import * as kumquatfront from 'kumquatfront';
 
@@ -7,16 +7,16 @@
 export interface RunningControl {
   readonly node: kumquatfront.controlNode.ControlNode;
   readonly transport: kumquatfront.jsonRpcTransport.JsonRpcTransport;
-  /** Lets operators' requests in flight end, closes everything, then calls back. */
+  /** Waits for operators' requests in flight, closes everything, then calls back. */
   stop(done: () => void): void;
 }
 
 /**
  * Starts a control replica.
  *
- * @param settings - checked settings
- * @param onFatal - called when the disk fails; the process must end
- * @returns the running replica, or a failure of its data folder
+ * @param settings - validated settings
+ * @param onFatal - called when the disk fails; the process must exit
+ * @returns the running replica, or the failure to open its data folder
  * @example
  * ```ts
  * const started = controlDaemon.start(settings, () => process.exit(1));
@@ -60,7 +60,7 @@
         node,
         transport,
         stop: (done) => {
-          // Entries ask another replica when this one is gone; an operator's request would be left without answer.
+          // Operators' requests in flight are completed first. Entries need no such care: they retry on another replica.
           server.close(() => {
             node.stop();
             transport.close();
--- a/packages/daemons/src/entry.ts
+++ b/packages/daemons/src/entry.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `kumquatfront-entry --settings FILE`
+ * Entry point of `kumquatfront-entry --settings FILE`, which runs an entry until a signal or a drain request stops it.
  */
 import * as kumquatfront from 'kumquatfront';
 
--- a/packages/daemons/src/entryDaemon.ts
+++ b/packages/daemons/src/entryDaemon.ts
@@ -1,5 +1,5 @@
 /**
- * The entry daemon: reads settings and wires the adapters to an entry; nothing else.
+ * Composition root of the entry daemon: creates an entry and its adapters from settings.
  */
 import type * as http from 'node:http';
 
@@ -9,11 +9,11 @@
 export interface RunningEntry {
   readonly node: kumquatfront.entryNode.EntryNode;
   readonly transport: kumquatfront.jsonRpcTransport.JsonRpcTransport;
-  /** Drains, closes everything, then calls back. */
+  /** Drains the entry, closes everything, then calls back. */
   drain(done: () => void): void;
 }
 
-function portsFor(
+function createPorts(
   settings: kumquatfront.settingsLoader.EntryDaemonSettings,
   transport: kumquatfront.jsonRpcTransport.JsonRpcTransport,
   log: kumquatfront.ports.Log,
@@ -44,8 +44,8 @@
 /**
  * Starts an entry.
  *
- * @param settings - checked settings
- * @param onDrainRequest - called when an operator asks for a drain through control
+ * @param settings - validated settings
+ * @param onDrainRequest - called when an operator requests a drain through control
  * @returns the running entry
  * @example
  * ```ts
@@ -65,7 +65,7 @@
   });
   const node = kumquatfront.entryNode.create(
     settings.entry,
-    portsFor(settings, transport, log, onDrainRequest),
+    createPorts(settings, transport, log, onDrainRequest),
   );
   const server = kumquatfront.entryHttp.createServer(settings.entry, node);
   const [host = '', port = ''] = settings.callerListen.split(':');
--- a/packages/daemons/src/index.ts
+++ b/packages/daemons/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The daemons as functions, for programs that run them in their own process.
+ * Public interface of the package: functions that run the daemons within another program.
  */
 export * as controlDaemon from './controlDaemon.js';
 export * as entryDaemon from './entryDaemon.js';
--- a/packages/daemons/src/settingsFile.ts
+++ b/packages/daemons/src/settingsFile.ts
@@ -1,5 +1,5 @@
 /**
- * Finds the settings file that a daemon is started with.
+ * Loads the settings file given on the command line of a daemon.
  */
 import * as fs from 'node:fs';
 
@@ -7,11 +7,11 @@
 import * as yargs from 'yargs';
 
 /**
- * Reads the command line and the settings file; ends the process with a message where either is at fault.
+ * Parses the command line and loads the settings file; exits with an error message if either is invalid.
  *
  * @param daemon - name of the daemon, for the help text
- * @param read - checks the text of the file
- * @returns the settings
+ * @param read - parses and validates the text of the file
+ * @returns the validated settings
  * @example
  * ```ts
  * const settings = settingsFile.load('kumquatfront-entry', kumquatfront.settingsLoader.readEntry);
@@ -32,23 +32,23 @@
     .parseSync();
   const file = parsed.settings;
   if (!fs.existsSync(file)) {
-    fail(
+    exitWithFailure(
       kumquatfront.failures.create(
         'notFound',
-        `There is no file ${file}.`,
+        `File ${file} does not exist.`,
         'Give the path of a settings file.',
       ),
     );
   }
   const settings = read(fs.readFileSync(file, 'utf8'), file);
   if (settings.err) {
-    fail(settings.val);
+    exitWithFailure(settings.val);
   }
   return settings.val;
 }
 
 /**
- * Writes a failure and ends the process with status 2.
+ * Prints a failure to the standard error and exits with status 2.
  *
  * @param failure - the failure
  * @example
@@ -56,7 +56,7 @@
  * settingsFile.fail(failure);
  * ```
  */
-export function fail(failure: kumquatfront.failures.Failure): never {
+export function exitWithFailure(failure: kumquatfront.failures.Failure): never {
   process.stderr.write(`${kumquatfront.failures.describe(failure)}\n`);
   process.exit(2);
 }
