--- a/packages/benchmarks/src/fleet/fleetCases.ts
+++ b/packages/benchmarks/src/fleet/fleetCases.ts
@@ -1,6 +1,6 @@
 /**
- * The fleets that are played. The rates, sizes, objectives and engines are those of the first users' sites: a small
- * one with room to spare, and one that has grown until memory and the reading of prompts bind.
+ * Fleets that are simulated: a small one with free capacity, variants of it with too few or with slow engines, and a large
+ * one that is limited by memory and prefill throughput. The names of the exports are printed in the results.
  */
 import type * as fleetRun from './fleetRun.js';
 import type * as fleetWorkload from './fleetWorkload.js';
@@ -8,56 +8,56 @@
 const LONG: fleetWorkload.GenerationClass = {
   name: 'long',
   rank: 1,
-  perSecond: 2.4,
+  arrivalsPerSecond: 2.4,
   objective: 1_800,
   abandonsAfter: 7_200,
   deadline: 39_000,
-  worth: 180,
-  lateShare: 0.15,
-  prompt: { median: 2_900, sigma: 0.35, least: 500, most: 6_079 },
-  output: { median: 500, sigma: 1, least: 8, most: 1_756 },
+  value: 180,
+  lateValueShare: 0.15,
+  prompt: { median: 2_900, sigma: 0.35, minimum: 500, maximum: 6_079 },
+  output: { median: 500, sigma: 1, minimum: 8, maximum: 1_756 },
 };
 
 const SHORT: fleetWorkload.GenerationClass = {
   name: 'short',
   rank: 0,
-  perSecond: 3.4,
+  arrivalsPerSecond: 3.4,
   objective: 1_500,
   abandonsAfter: 6_000,
   deadline: 6_000,
-  worth: 24,
-  lateShare: 0.15,
-  prompt: { median: 2_150, sigma: 0.55, least: 400, most: 6_350 },
-  output: { median: 8, sigma: 0.6, least: 4, most: 32 },
+  value: 24,
+  lateValueShare: 0.15,
+  prompt: { median: 2_150, sigma: 0.55, minimum: 400, maximum: 6_350 },
+  output: { median: 8, sigma: 0.6, minimum: 4, maximum: 32 },
 };
 
-/** Six engines with memory for eight or nine long generations each. */
+/** Six engines, each with memory for eight or nine long generations. */
 export const small: Omit<fleetRun.FleetRunOptions, 'seed'> = {
   engines: 6,
   dataCentres: 4,
   memoryTokens: 34_231,
-  leaveTogether: 1,
-  leaveEvery: 3_300,
+  simultaneousTerminations: 1,
+  terminationInterval: 3_300,
   duration: 50_000,
   classes: [LONG, SHORT],
 };
 
-/** Thirty-one engines with memory for five or six each; a sixth leaves at a time. */
+/** Thirty-one engines, each with memory for five or six long generations; a sixth is terminated at a time. */
 export const grown: Omit<fleetRun.FleetRunOptions, 'seed'> = {
   engines: 31,
   dataCentres: 5,
   memoryTokens: 21_906,
-  leaveTogether: 5,
-  leaveEvery: 3_300,
+  simultaneousTerminations: 5,
+  terminationInterval: 3_300,
   duration: 50_000,
   classes: [
-    { ...LONG, perSecond: 19.4 },
-    { ...SHORT, perSecond: 21.6 },
+    { ...LONG, arrivalsPerSecond: 19.4 },
+    { ...SHORT, arrivalsPerSecond: 21.6 },
   ],
 };
 
-/** The small fleet after two of its engines have gone for good: half of the load fits. */
+/** The small fleet after the permanent loss of two engines: half of the load fits. */
 export const depleted: Omit<fleetRun.FleetRunOptions, 'seed'> = { ...small, engines: 4 };
 
-/** The small fleet where every third engine is slower by three tenths. */
-export const uneven: Omit<fleetRun.FleetRunOptions, 'seed'> = { ...small, slowness: [1, 1, 1.3] };
+/** The small fleet with every third engine 30% slower. */
+export const uneven: Omit<fleetRun.FleetRunOptions, 'seed'> = { ...small, stepTimeFactors: [1, 1, 1.3] };
--- a/packages/benchmarks/src/fleet/fleetEngines.ts
+++ b/packages/benchmarks/src/fleet/fleetEngines.ts
@@ -1,21 +1,21 @@
 /**
- * Engines that come and go, with what runs on each: every few seconds some give notice and are gone soon after,
- * and others take their places later. Copies of memory share the links of source and target.
+ * Simulated engines of a fleet: at intervals some get a termination notice, stop after a short notice period and are
+ * replaced later. Copies of generation memory share the network links of source and target.
  */
 import type * as kumquatfront from 'kumquatfront';
 import * as standIns from 'kumquatfront-stand-ins';
 
-/** How the engines behave. */
-export interface FleetOptions {
+/** Size of the fleet and behaviour of its engines. */
+export interface FleetEngineOptions {
   readonly engines: number;
   readonly dataCentres: number;
   readonly memoryTokens: number;
-  /** Engines that give notice together. */
-  readonly leaveTogether: number;
-  /** Time between two such moments. */
-  readonly leaveEvery: number;
-  /** Factors on the time of a step, given to engines in turn as they start; all alike where absent. */
-  readonly slowness?: readonly number[];
+  /** Engines that get a termination notice at the same time. */
+  readonly simultaneousTerminations: number;
+  /** Time between two rounds of termination notices. */
+  readonly terminationInterval: number;
+  /** Factors on the duration of a step, assigned to engines in turn as they start; 1 for all if absent. */
+  readonly stepTimeFactors?: readonly number[];
 }
 
 const SLOTS = 24;
@@ -24,17 +24,16 @@
 const PREFILL_PER_STEP = 112;
 const PREFILL_TOKENS_PER_MILLISECOND = 14;
 
-/** Copying one token's memory: 262,144 bytes over 38,000 Mbit/s; between data centres it takes twice as long. */
-const COPY_TOKEN = 0.0552;
-const FAR_COPY_FACTOR = 2;
+/** Milliseconds to copy the memory of one token: 262,144 bytes over 38,000 Mbit/s within a data centre. */
+const COPY_TIME_PER_TOKEN = 0.0552;
+const CROSS_DATA_CENTRE_COPY_FACTOR = 2;
 
-/** First engines leave after this. */
-const FIRST_NOTICE = 1_500;
-const SHORTEST_NOTICE = 1_500;
-const NOTICE_SPREAD = 600;
-const REPLACED_AFTER = 4_000;
-/** Time for which a gone engine is still listed. */
-const LISTED_AFTER = 2_500;
+const FIRST_TERMINATION_DELAY = 1_500;
+const MINIMUM_NOTICE_PERIOD = 1_500;
+const NOTICE_PERIOD_SPREAD = 600;
+const REPLACEMENT_DELAY = 4_000;
+/** Time for which a stopped engine is still listed. */
+const DELISTING_DELAY = 2_500;
 
 /** One engine of the fleet. */
 export interface FleetEngine {
@@ -42,48 +41,48 @@
   readonly dataCentre: string;
   readonly model: standIns.engineModel.EngineModel;
   state: 'ready' | 'leaving' | 'gone';
-  linkFreeAt: number;
+  linkBusyUntil: number;
 }
 
-/** The engines; see the module comment. */
+/** Starts, terminates and replaces the engines of a fleet. */
 export class FleetEngines {
   readonly engines = new Map<string, FleetEngine>();
-  private readonly options: FleetOptions;
+  private readonly options: FleetEngineOptions;
   private readonly time: kumquatfront.virtualTime.VirtualTime;
   private readonly random: kumquatfront.ports.Random;
-  private readonly changed: () => void;
-  private readonly lost: (engine: FleetEngine) => void;
-  private started = 0;
+  private readonly onChange: () => void;
+  private readonly onEngineLost: (engine: FleetEngine) => void;
+  private startedCount = 0;
 
   /**
-   * @param changed - called when engines gave notice, went or came
-   * @param lost - called with an engine that has gone, whose runs are lost
+   * @param onChange - called when engines start, get a termination notice, stop or are removed from the list
+   * @param onEngineLost - called with an engine that has stopped, whose generations are lost
    */
   constructor(
-    options: FleetOptions,
+    options: FleetEngineOptions,
     time: kumquatfront.virtualTime.VirtualTime,
     random: kumquatfront.ports.Random,
-    changed: () => void,
-    lost: (engine: FleetEngine) => void,
+    onChange: () => void,
+    onEngineLost: (engine: FleetEngine) => void,
   ) {
     this.options = options;
     this.time = time;
     this.random = random;
-    this.changed = changed;
-    this.lost = lost;
+    this.onChange = onChange;
+    this.onEngineLost = onEngineLost;
     for (let index = 0; index < options.engines; index += 1) {
       this.startEngine(`dc${index % options.dataCentres}`);
     }
-    time.after(FIRST_NOTICE, () => {
-      this.giveNotice();
+    time.after(FIRST_TERMINATION_DELAY, () => {
+      this.terminateSome();
     });
   }
 
   private startEngine(dataCentre: string): void {
-    const { slowness = [1] } = this.options;
-    const factor = slowness[this.started % slowness.length] ?? 1;
-    this.started += 1;
-    const identity = `engine${this.started}`;
+    const { stepTimeFactors = [1] } = this.options;
+    const factor = stepTimeFactors[this.startedCount % stepTimeFactors.length] ?? 1;
+    this.startedCount += 1;
+    const identity = `engine${this.startedCount}`;
     const model = new standIns.engineModel.EngineModel(
       {
         name: identity,
@@ -97,48 +96,49 @@
       },
       this.time,
     );
-    this.engines.set(identity, { identity, dataCentre, model, state: 'ready', linkFreeAt: 0 });
+    this.engines.set(identity, { identity, dataCentre, model, state: 'ready', linkBusyUntil: 0 });
   }
 
-  private giveNotice(): void {
+  private terminateSome(): void {
     const ready = [...this.engines.values()].filter((engine) => engine.state === 'ready');
-    for (let count = 0; count < this.options.leaveTogether && ready.length > 1; count += 1) {
+    for (let count = 0; count < this.options.simultaneousTerminations && ready.length > 1; count += 1) {
       const [engine] = ready.splice(Math.floor(this.random.next() * ready.length), 1);
       if (engine !== undefined) {
-        this.leave(engine);
+        this.terminate(engine);
       }
     }
-    this.changed();
-    this.time.after(this.options.leaveEvery, () => {
-      this.giveNotice();
+    this.onChange();
+    this.time.after(this.options.terminationInterval, () => {
+      this.terminateSome();
     });
   }
 
-  private leave(engine: FleetEngine): void {
+  private terminate(engine: FleetEngine): void {
     engine.state = 'leaving';
-    this.time.after(SHORTEST_NOTICE + NOTICE_SPREAD * this.random.next(), () => {
+    this.time.after(MINIMUM_NOTICE_PERIOD + NOTICE_PERIOD_SPREAD * this.random.next(), () => {
       engine.state = 'gone';
       engine.model.freeze();
-      this.lost(engine);
-      this.changed();
-      this.time.after(LISTED_AFTER, () => {
+      this.onEngineLost(engine);
+      this.onChange();
+      this.time.after(DELISTING_DELAY, () => {
         this.engines.delete(engine.identity);
-        this.changed();
+        this.onChange();
       });
-      this.time.after(REPLACED_AFTER, () => {
+      this.time.after(REPLACEMENT_DELAY, () => {
         this.startEngine(engine.dataCentre);
-        this.changed();
+        this.onChange();
       });
     });
   }
 
-  /** Calls back once a copy is complete, behind the copies that share its links. */
+  /** Copies generation memory between engines; starts after earlier copies over the same links and calls back at the end. */
   copy(source: FleetEngine, target: FleetEngine, tokens: number, done: () => void): void {
     const now = this.time.now();
-    const factor = source.dataCentre === target.dataCentre ? 1 : FAR_COPY_FACTOR;
-    const end = Math.max(now, source.linkFreeAt, target.linkFreeAt) + tokens * COPY_TOKEN * factor;
-    source.linkFreeAt = end;
-    target.linkFreeAt = end;
+    const factor = source.dataCentre === target.dataCentre ? 1 : CROSS_DATA_CENTRE_COPY_FACTOR;
+    const end =
+      Math.max(now, source.linkBusyUntil, target.linkBusyUntil) + tokens * COPY_TIME_PER_TOKEN * factor;
+    source.linkBusyUntil = end;
+    target.linkBusyUntil = end;
     this.time.after(end - now, done);
   }
 }
--- a/packages/benchmarks/src/fleet/fleetRun.ts
+++ b/packages/benchmarks/src/fleet/fleetRun.ts
@@ -1,37 +1,37 @@
 /**
- * Plays a crowded fleet on virtual time: callers with objectives, the product's coordinator, and stand-in engines
- * that come and go. What each caller got is counted as its worth, so that ways to admit, place and move can be
- * compared in seconds and without a network.
+ * Simulates a fleet under load in virtual time: callers with objectives, the product's placement coordinator, and stand-in
+ * engines that terminate and are replaced. Scores the outcomes, so that admission, placement and migration can be compared
+ * without a network.
  */
 import * as kumquatfront from 'kumquatfront';
 
 import * as fleetEngines from './fleetEngines.js';
-import * as fleetLedger from './fleetLedger.js';
+import * as fleetScorer from './fleetScorer.js';
 import * as fleetWorkload from './fleetWorkload.js';
 
-/** What is played. */
-export interface FleetRunOptions extends fleetEngines.FleetOptions {
-  /** Mechanisms of placement in use; all of them where absent. */
-  readonly isOn?: kumquatfront.mechanisms.IsOn;
+/** Options of a simulation; times in milliseconds. */
+export interface FleetRunOptions extends fleetEngines.FleetEngineOptions {
+  /** Placement features in use; all of them if absent. */
+  readonly isEnabled?: kumquatfront.mechanisms.IsOn;
   readonly seed: number;
   readonly duration: number;
   readonly classes: readonly fleetWorkload.GenerationClass[];
 }
 
 const REPORT_INTERVAL = 250;
-const REPORT_PAUSE = 15;
-/** From an entry to an engine and back, with a new connection. */
-const ROUND_TRIP = 8;
+const REPORT_DELAY = 15;
+/** From an entry to an engine and back, including a new connection. */
+const ROUND_TRIP_TIME = 8;
 const TOKENS_PER_EVENT = 4;
 const SERVICE = 'llm';
-/** Callers wait no more than this share of their time left before they come back. */
-const HONOURED_SHARE = 1 / 3;
-/** What comes so late that it may not end within the play is not counted, but fills the engines. */
-const UNCOUNTED_END = 15_000;
+/** Maximum share of their remaining time that callers wait before they retry. */
+const MAXIMUM_RETRY_WAIT_SHARE = 1 / 3;
+/** Requests this close to the end load the engines but are not scored, since they may not end within the simulation. */
+const UNCOUNTED_TAIL = 15_000;
 
-interface Run {
-  readonly wanted: fleetWorkload.WantedGeneration;
-  readonly facts: kumquatfront.placementTypes.GenerationFacts;
+interface RunningGeneration {
+  readonly request: fleetWorkload.GenerationRequest;
+  readonly attributes: kumquatfront.placementTypes.GenerationFacts;
   engine: fleetEngines.FleetEngine;
   firstEventAt: number | undefined;
   lastEventAt: number;
@@ -40,30 +40,30 @@
   ended: boolean;
 }
 
-/** One play; see the module comment. */
+/** State of one simulation. */
 class FleetRun {
   private readonly options: FleetRunOptions;
   private readonly time = new kumquatfront.virtualTime.VirtualTime();
-  /** One source of chance for what comes, so that every way to place it meets the same callers. */
+  /** Used only for arrivals, so that every placement policy gets the same requests. */
   private readonly random: kumquatfront.ports.Random;
   private readonly timers: kumquatfront.timerService.TimerService;
   private readonly fleet: fleetEngines.FleetEngines;
   private readonly coordinator: kumquatfront.placementCoordinator.Coordinator;
-  private readonly runs = new Map<string, Run>();
+  private readonly generations = new Map<string, RunningGeneration>();
   private finished: kumquatfront.placementTypes.FinishedGeneration[] = [];
   private sequence = 0;
   private reportScheduled = false;
-  private asked = 0;
-  private readonly ledger: fleetLedger.FleetLedger;
+  private requestCount = 0;
+  private readonly scorer: fleetScorer.FleetScorer;
   private readonly moves = { moved: 0, ended: 0, failed: 0 };
 
   constructor(options: FleetRunOptions) {
     this.options = options;
-    this.ledger = new fleetLedger.FleetLedger(options.duration - UNCOUNTED_END);
+    this.scorer = new fleetScorer.FleetScorer(options.duration - UNCOUNTED_TAIL);
     const { time } = this;
     this.random = kumquatfront.seededRandom.create(options.seed);
     this.timers = kumquatfront.timerService.create(time.clock, time);
-    const silent = (): void => undefined;
+    const noOperation = (): void => undefined;
     this.fleet = new fleetEngines.FleetEngines(
       options,
       time,
@@ -72,10 +72,10 @@
         this.coordinator.instancesChanged();
       },
       (engine) => {
-        this.loseRunsOf(engine);
+        this.loseGenerationsOn(engine);
       },
     );
-    const engine: kumquatfront.trafficTypes.EngineTraits = {
+    const engineTraits: kumquatfront.trafficTypes.EngineTraits = {
       slots: 24,
       memoryTokens: options.memoryTokens,
       bytesPerToken: 262_144,
@@ -84,18 +84,22 @@
       backups: false,
       tokensPerEvent: TOKENS_PER_EVENT,
     };
-    const service: kumquatfront.trafficTypes.Service = { name: SERVICE, maximumConnections: 500, engine };
+    const service: kumquatfront.trafficTypes.Service = {
+      name: SERVICE,
+      maximumConnections: 500,
+      engine: engineTraits,
+    };
     this.coordinator = new kumquatfront.placementCoordinator.Coordinator({
       timers: this.timers,
-      log: { debug: silent, info: silent, warn: silent, error: silent },
-      metrics: { count: silent, gauge: silent, timing: silent },
+      log: { debug: noOperation, info: noOperation, warn: noOperation, error: noOperation },
+      metrics: { count: noOperation, gauge: noOperation, timing: noOperation },
       random: kumquatfront.seededRandom.create(options.seed + 2_000),
       instances: () => this.instances(),
       warmUpTolerance: kumquatfront.warmUpBounds.strictTolerance,
       isEvacuated: () => false,
       serviceOf: () => service,
       entries: () => ['e'],
-      ...(options.isOn !== undefined && { isOn: options.isOn }),
+      ...(options.isEnabled !== undefined && { isOn: options.isEnabled }),
       move: (_address, command, done) => {
         this.move(command, done);
       },
@@ -117,13 +121,13 @@
     }));
   }
 
-  play(): fleetLedger.FleetFigures {
+  simulate(): fleetScorer.FleetFigures {
     const { time, timers } = this;
-    this.reportRegularly();
-    // The coordinator learns who runs what before it places anything.
+    this.runPeriodicReports();
+    // The coordinator needs reports from the entry before it places anything.
     time.after(1_000, () => {
       for (const kind of this.options.classes) {
-        this.arriveNext(kind);
+        this.scheduleArrival(kind);
       }
     });
     time.advance(this.options.duration);
@@ -132,150 +136,176 @@
       (sum, engine) => sum + engine.model.counts.preemptions,
       0,
     );
-    return this.ledger.figures(preemptions, this.moves);
+    return this.scorer.totals(preemptions, this.moves);
   }
 
-  private arriveNext(kind: fleetWorkload.GenerationClass): void {
+  private scheduleArrival(kind: fleetWorkload.GenerationClass): void {
     const { time, random } = this;
-    time.after(fleetWorkload.nextArrival(random, kind.perSecond, time.now()), () => {
-      this.asked += 1;
-      const wanted = fleetWorkload.drawGeneration(random, kind, `g${this.asked}`, time.now());
-      this.ledger.asked(wanted);
-      this.ask(wanted, 0);
-      this.arriveNext(kind);
+    time.after(fleetWorkload.sampleInterarrivalTime(random, kind.arrivalsPerSecond, time.now()), () => {
+      this.requestCount += 1;
+      const request = fleetWorkload.sampleGeneration(random, kind, `g${this.requestCount}`, time.now());
+      this.scorer.recordRequest(request);
+      this.sendRequest(request, 0);
+      this.scheduleArrival(kind);
     });
   }
 
-  private ask(wanted: fleetWorkload.WantedGeneration, returned: number): void {
-    const { kind, firstAskedAt } = wanted;
+  private sendRequest(request: fleetWorkload.GenerationRequest, attempt: number): void {
+    const { kind, firstRequestedAt } = request;
     const now = this.time.now();
-    const timeLeft = firstAskedAt + kind.deadline - now;
-    const facts: kumquatfront.placementTypes.GenerationFacts = {
-      identity: `${wanted.identity}/${returned}`,
+    const timeLeft = firstRequestedAt + kind.deadline - now;
+    const attributes: kumquatfront.placementTypes.GenerationFacts = {
+      identity: `${request.identity}/${attempt}`,
       service: SERVICE,
-      promptTokens: wanted.promptTokens,
-      outputLimit: kind.output.most,
-      lengthHint: wanted.lengthHint,
+      promptTokens: request.promptTokens,
+      outputLimit: kind.output.maximum,
+      lengthHint: request.lengthHint,
       rank: kind.rank,
       account: '',
     };
-    const patience = kumquatfront.waitingRules.longestWait(kind.objective, timeLeft, kind.rank);
+    const maximumWait = kumquatfront.waitingRules.longestWait(kind.objective, timeLeft, kind.rank);
     const { objective } = kind;
-    const request = { facts, entry: 'e', dataCentre: 'dc0', excluded: [], objective, patience };
-    const question = { ...request, likeness: wanted.identity, objectiveLeft: objective };
-    this.coordinator.place(question, (answer) => {
+    const common = {
+      facts: attributes,
+      entry: 'e',
+      dataCentre: 'dc0',
+      excluded: [],
+      objective,
+      patience: maximumWait,
+    };
+    const placementRequest = { ...common, likeness: request.identity, objectiveLeft: objective };
+    this.coordinator.place(placementRequest, (answer) => {
       if (answer.state === 'placed') {
-        this.begin(wanted, facts, answer.instance);
+        this.startGeneration(request, attributes, answer.instance);
       } else {
-        this.onRefused(wanted, returned, now, answer.retryAfter);
+        this.onRefused(request, attempt, now, answer.retryAfter);
       }
     });
   }
 
   private onRefused(
-    wanted: fleetWorkload.WantedGeneration,
-    returned: number,
-    askedAt: number,
+    request: fleetWorkload.GenerationRequest,
+    attempt: number,
+    requestedAt: number,
     retryAfter: number,
   ): void {
     const now = this.time.now();
-    const { kind, firstAskedAt } = wanted;
-    wanted.held += now - askedAt;
-    if (returned > 0) {
-      this.ledger.refusedAgain(wanted);
+    const { kind, firstRequestedAt } = request;
+    request.queueTime += now - requestedAt;
+    if (attempt > 0) {
+      this.scorer.recordSecondRefusal(request);
     }
-    if (returned === 0) {
-      const timeLeft = firstAskedAt + kind.deadline - now;
-      this.time.after(Math.min(retryAfter, timeLeft * HONOURED_SHARE) + ROUND_TRIP, () => {
-        this.ask(wanted, 1);
+    if (attempt === 0) {
+      const timeLeft = firstRequestedAt + kind.deadline - now;
+      this.time.after(Math.min(retryAfter, timeLeft * MAXIMUM_RETRY_WAIT_SHARE) + ROUND_TRIP_TIME, () => {
+        this.sendRequest(request, 1);
       });
     }
   }
 
-  private begin(
-    wanted: fleetWorkload.WantedGeneration,
-    facts: kumquatfront.placementTypes.GenerationFacts,
+  private startGeneration(
+    request: fleetWorkload.GenerationRequest,
+    attributes: kumquatfront.placementTypes.GenerationFacts,
     instance: string,
   ): void {
     const engine = this.fleet.engines.get(instance);
     if (engine === undefined) {
-      this.ledger.lost(wanted);
+      this.scorer.recordLoss(request);
       return;
     }
-    const run: Run = {
-      ...{ wanted, facts, engine, firstEventAt: undefined, lastEventAt: 0, longestPause: 0, produced: 0 },
+    const generation: RunningGeneration = {
+      ...{
+        request,
+        attributes,
+        engine,
+        firstEventAt: undefined,
+        lastEventAt: 0,
+        longestPause: 0,
+        produced: 0,
+      },
       ended: false,
     };
-    this.runs.set(facts.identity, run);
-    this.reportSoon();
-    this.time.after(ROUND_TRIP, () => {
-      this.startAt(run, engine, undefined);
+    this.generations.set(attributes.identity, generation);
+    this.scheduleReport();
+    this.time.after(ROUND_TRIP_TIME, () => {
+      this.startOnEngine(generation, engine, undefined);
     });
   }
 
-  private startAt(run: Run, engine: fleetEngines.FleetEngine, copiedOutput: number | undefined): void {
+  private startOnEngine(
+    generation: RunningGeneration,
+    engine: fleetEngines.FleetEngine,
+    copiedOutput: number | undefined,
+  ): void {
     if (engine.state === 'gone') {
-      this.end(run, 'lost');
+      this.endGeneration(generation, 'lost');
       return;
     }
-    run.engine = engine;
-    const order = {
-      generation: run.facts.identity,
-      priority: run.facts.rank,
-      promptTokens: run.facts.promptTokens,
-      outputTokens: run.wanted.outputTokens,
+    generation.engine = engine;
+    const engineRequest = {
+      generation: generation.attributes.identity,
+      priority: generation.attributes.rank,
+      promptTokens: generation.attributes.promptTokens,
+      outputTokens: generation.request.outputTokens,
       prefix: '',
     };
-    engine.model.start(copiedOutput === undefined ? order : { ...order, copiedOutput }, {
+    engine.model.start(copiedOutput === undefined ? engineRequest : { ...engineRequest, copiedOutput }, {
       token: (_generation, index) => {
-        if (run.engine === engine) {
-          this.onToken(run, index);
+        if (generation.engine === engine) {
+          this.onToken(generation, index);
         }
       },
       ended: () => {
-        if (run.engine === engine) {
-          this.end(run, 'answered');
+        if (generation.engine === engine) {
+          this.endGeneration(generation, 'answered');
         }
       },
     });
   }
 
-  private onToken(run: Run, index: number): void {
+  private onToken(generation: RunningGeneration, index: number): void {
     const now = this.time.now();
-    run.produced = index + 1;
-    const whole = (index + 1) % TOKENS_PER_EVENT === 0 || index + 1 === run.wanted.outputTokens;
-    if (!whole) {
+    generation.produced = index + 1;
+    const isCompleteEvent =
+      (index + 1) % TOKENS_PER_EVENT === 0 || index + 1 === generation.request.outputTokens;
+    if (!isCompleteEvent) {
       return;
     }
-    if (run.firstEventAt === undefined) {
-      run.firstEventAt = now;
-      this.reportSoon();
+    if (generation.firstEventAt === undefined) {
+      generation.firstEventAt = now;
+      this.scheduleReport();
     } else {
-      run.longestPause = Math.max(run.longestPause, now - run.lastEventAt);
+      generation.longestPause = Math.max(generation.longestPause, now - generation.lastEventAt);
     }
-    run.lastEventAt = now;
+    generation.lastEventAt = now;
   }
 
-  private end(run: Run, outcome: 'answered' | 'lost'): void {
-    if (run.ended) {
+  private endGeneration(generation: RunningGeneration, outcome: 'answered' | 'lost'): void {
+    if (generation.ended) {
       return;
     }
-    run.ended = true;
-    const { wanted, facts, produced, firstEventAt = Number.POSITIVE_INFINITY, longestPause } = run;
-    this.runs.delete(facts.identity);
-    this.reportSoon();
+    generation.ended = true;
+    const {
+      request,
+      attributes,
+      produced,
+      firstEventAt = Number.POSITIVE_INFINITY,
+      longestPause,
+    } = generation;
+    this.generations.delete(attributes.identity);
+    this.scheduleReport();
     if (outcome === 'lost') {
-      this.ledger.lost(wanted);
+      this.scorer.recordLoss(request);
       return;
     }
-    this.finished.push({ facts, produced });
-    this.ledger.answered(wanted, { firstEvent: firstEventAt - wanted.firstAskedAt, longestPause });
+    this.finished.push({ facts: attributes, produced });
+    this.scorer.recordAnswer(request, { firstEvent: firstEventAt - request.firstRequestedAt, longestPause });
   }
 
-  private loseRunsOf(engine: fleetEngines.FleetEngine): void {
-    for (const run of [...this.runs.values()]) {
-      if (run.engine === engine) {
-        this.end(run, 'lost');
+  private loseGenerationsOn(engine: fleetEngines.FleetEngine): void {
+    for (const generation of [...this.generations.values()]) {
+      if (generation.engine === engine) {
+        this.endGeneration(generation, 'lost');
       }
     }
   }
@@ -284,63 +314,65 @@
     command: kumquatfront.placementTypes.MoveCommand,
     done: (outcome: kumquatfront.placementTypes.MoveOutcome) => void,
   ): void {
-    const run = this.runs.get(command.identity);
+    const generation = this.generations.get(command.identity);
     const target = this.fleet.engines.get(command.target);
     const finish = (outcome: kumquatfront.placementTypes.MoveOutcome): void => {
       this.moves[outcome] += 1;
-      this.reportNow();
+      this.sendReport();
       done(outcome);
     };
-    if (run?.engine.identity !== command.source) {
+    if (generation?.engine.identity !== command.source) {
       finish('ended');
       return;
     }
-    const source = run.engine;
-    const held = run.facts.promptTokens + run.produced;
-    if (target?.state !== 'ready' || !target.model.hold(held)) {
+    const source = generation.engine;
+    const copiedTokens = generation.attributes.promptTokens + generation.produced;
+    if (target?.state !== 'ready' || !target.model.hold(copiedTokens)) {
       finish('failed');
       return;
     }
-    this.fleet.copy(source, target, held, () => {
-      if (run.ended || source.state === 'gone') {
-        target.model.release(held);
+    this.fleet.copy(source, target, copiedTokens, () => {
+      if (generation.ended || source.state === 'gone') {
+        target.model.release(copiedTokens);
         finish('ended');
         return;
       }
-      const atStop = run.produced;
-      source.model.cancel(run.facts.identity, false);
-      const added = run.facts.promptTokens + atStop - held;
-      this.fleet.copy(source, target, added, () => {
-        target.model.release(held);
-        this.startAt(run, target, atStop);
+      const producedAtStop = generation.produced;
+      source.model.cancel(generation.attributes.identity, false);
+      const remainingTokens = generation.attributes.promptTokens + producedAtStop - copiedTokens;
+      this.fleet.copy(source, target, remainingTokens, () => {
+        target.model.release(copiedTokens);
+        this.startOnEngine(generation, target, producedAtStop);
         finish('moved');
       });
     });
   }
 
-  private reportRegularly(): void {
-    this.reportNow();
+  private runPeriodicReports(): void {
+    this.sendReport();
     this.time.after(REPORT_INTERVAL, () => {
-      this.reportRegularly();
+      this.runPeriodicReports();
     });
   }
 
-  private reportSoon(): void {
+  private scheduleReport(): void {
     if (!this.reportScheduled) {
       this.reportScheduled = true;
-      this.time.after(REPORT_PAUSE, () => {
+      this.time.after(REPORT_DELAY, () => {
         this.reportScheduled = false;
-        this.reportNow();
+        this.sendReport();
       });
     }
   }
 
-  private reportNow(): void {
+  private sendReport(): void {
     this.sequence += 1;
-    const generations = [...this.runs.values()].map(({ facts, engine, produced, firstEventAt }) => ({
-      ...{ facts, instance: engine.identity, produced },
-      started: firstEventAt !== undefined,
-    }));
+    const generations = [...this.generations.values()].map(
+      ({ attributes, engine, produced, firstEventAt }) => ({
+        ...{ facts: attributes, instance: engine.identity, produced },
+        started: firstEventAt !== undefined,
+      }),
+    );
     const { sequence, finished } = this;
     this.finished = [];
     this.coordinator.report({
@@ -352,15 +384,15 @@
 }
 
 /**
- * Plays one fleet.
+ * Simulates one fleet.
  *
- * @param options - what is played
- * @returns what its callers got
+ * @param options - fleet, workload, duration and seed
+ * @returns the scored outcomes
  * @example
  * ```ts
- * const figures = fleetRun.play({ ...fleetCases.grown, seed: 1 });
+ * const figures = fleetRun.simulate({ ...fleetCases.grown, seed: 1 });
  * ```
  */
-export function play(options: FleetRunOptions): fleetLedger.FleetFigures {
-  return new FleetRun(options).play();
+export function simulate(options: FleetRunOptions): fleetScorer.FleetFigures {
+  return new FleetRun(options).simulate();
 }
--- a/packages/benchmarks/src/fleet/fleetWorkload.ts
+++ b/packages/benchmarks/src/fleet/fleetWorkload.ts
@@ -1,49 +1,48 @@
 /**
- * Generations as a crowded fleet gets them: long ones of unknown length and short urgent ones, each class with
- * its own objective. Times are milliseconds, sizes are tokens.
+ * Samples the generation requests of a simulated fleet: long ones of unknown length and short urgent ones, each class
+ * with its own objective. Times in milliseconds, sizes in tokens.
  */
 import * as kumquatfront from 'kumquatfront';
 
-/** A kind of generation. */
+/** Arrival rate, sizes, objective and value of one class of generations. */
 export interface GenerationClass {
   readonly name: 'long' | 'short';
   readonly rank: number;
-  /** Arrivals a second. */
-  readonly perSecond: number;
-  /** Time to the first event that earns the whole worth. */
+  readonly arrivalsPerSecond: number;
+  /** Maximum time to the first event for which a caller receives the full value. */
   readonly objective: number;
-  /** Time without a first event after which callers leave. */
+  /** Time without a first event after which callers abandon the request. */
   readonly abandonsAfter: number;
   readonly deadline: number;
-  readonly worth: number;
-  /** Share of the worth that a late answer earns. */
-  readonly lateShare: number;
+  readonly value: number;
+  /** Share of the value that a late or visibly paused answer yields. */
+  readonly lateValueShare: number;
   readonly prompt: LogNormal;
   readonly output: LogNormal;
 }
 
-/** Sizes with a long tail. */
+/** Log-normal distribution of sizes, clamped to a range. */
 export interface LogNormal {
   readonly median: number;
   readonly sigma: number;
-  readonly least: number;
-  readonly most: number;
+  readonly minimum: number;
+  readonly maximum: number;
 }
 
-/** Error of callers' guesses of the length, as sigma of its logarithm. */
+/** Sigma of the log-normal error of callers' length hints. */
 const HINT_SIGMA = 1.2;
 
-/** One generation that a caller wants. */
-export interface WantedGeneration {
+/** One generation that a caller requests. */
+export interface GenerationRequest {
   readonly identity: string;
   readonly kind: GenerationClass;
   readonly promptTokens: number;
-  /** Unknown to the system. */
+  /** Not known to the scheduler. */
   readonly outputTokens: number;
   readonly lengthHint: number;
-  readonly firstAskedAt: number;
-  /** Time for which it was kept waiting before it was refused, over all tries. */
-  held: number;
+  readonly firstRequestedAt: number;
+  /** Time spent waiting before refusals, over all attempts. */
+  queueTime: number;
 }
 
 function standardNormal(random: kumquatfront.ports.Random): number {
@@ -51,49 +50,53 @@
   return radius * Math.cos(2 * Math.PI * random.next());
 }
 
-function draw(random: kumquatfront.ports.Random, size: LogNormal): number {
-  const value = size.median * Math.exp(size.sigma * standardNormal(random));
-  return Math.round(Math.max(size.least, Math.min(size.most, value)));
+function sampleSize(random: kumquatfront.ports.Random, distribution: LogNormal): number {
+  const value = distribution.median * Math.exp(distribution.sigma * standardNormal(random));
+  return Math.round(Math.max(distribution.minimum, Math.min(distribution.maximum, value)));
 }
 
 /**
- * Draws one generation.
+ * Samples one generation request.
  *
- * @param random - source of chance
+ * @param random - source of randomness
  * @param kind - its class
- * @param identity - its name
- * @param now - when its caller first asks
- * @returns the generation
+ * @param identity - its identifier
+ * @param now - time of the caller's first attempt
+ * @returns the request
  * @example
  * ```ts
- * fleetWorkload.drawGeneration(random, longClass, 'g1', time.now());
+ * fleetWorkload.sampleGeneration(random, longClass, 'g1', time.now());
  * ```
  */
-export function drawGeneration(
+export function sampleGeneration(
   random: kumquatfront.ports.Random,
   kind: GenerationClass,
   identity: string,
   now: number,
-): WantedGeneration {
-  const outputTokens = draw(random, kind.output);
+): GenerationRequest {
+  const outputTokens = sampleSize(random, kind.output);
   const lengthHint = Math.max(1, Math.round(outputTokens * Math.exp(HINT_SIGMA * standardNormal(random))));
-  const promptTokens = draw(random, kind.prompt);
-  return { identity, kind, promptTokens, outputTokens, lengthHint, firstAskedAt: now, held: 0 };
+  const promptTokens = sampleSize(random, kind.prompt);
+  return { identity, kind, promptTokens, outputTokens, lengthHint, firstRequestedAt: now, queueTime: 0 };
 }
 
 /**
- * Time to the next arrival of a Poisson process whose rate swings slowly.
+ * Samples the time to the next arrival of a Poisson process with a slowly varying rate.
  *
- * @param random - source of chance
- * @param perSecond - mean rate
+ * @param random - source of randomness
+ * @param arrivalsPerSecond - mean arrival rate
  * @param now - milliseconds since the start
  * @returns milliseconds
  * @example
  * ```ts
- * time.after(fleetWorkload.nextArrival(random, 19.4, time.now()), arrive);
+ * time.after(fleetWorkload.sampleInterarrivalTime(random, 19.4, time.now()), arrive);
  * ```
  */
-export function nextArrival(random: kumquatfront.ports.Random, perSecond: number, now: number): number {
-  const swing = 1 + 0.15 * Math.sin((2 * Math.PI * now) / 11_000);
-  return (-Math.log(Math.max(random.next(), 1e-12)) * 1_000) / (perSecond * swing);
+export function sampleInterarrivalTime(
+  random: kumquatfront.ports.Random,
+  arrivalsPerSecond: number,
+  now: number,
+): number {
+  const rateFactor = 1 + 0.15 * Math.sin((2 * Math.PI * now) / 11_000);
+  return (-Math.log(Math.max(random.next(), 1e-12)) * 1_000) / (arrivalsPerSecond * rateFactor);
 }
--- a/packages/benchmarks/src/measure.ts
+++ b/packages/benchmarks/src/measure.ts
@@ -1,71 +1,71 @@
 /**
- * `npm run measure`: the policy against its baselines on the same seeded workloads, on virtual time, both
- * deployments, at several loads and with faults. Prints a table and writes JSON beside it.
+ * `npm run measure`: compares the placement policy with its baselines on the same seeded workloads in virtual time, for
+ * both deployments, at several loads and with injected faults. Prints a table and writes docs/design/policy-figures.json.
  */
 import * as childProcess from 'node:child_process';
 import * as fs from 'node:fs';
 import * as os from 'node:os';
 
-import type * as caseTypes from './policy/case.js';
+import type * as benchmarkCase from './policy/benchmarkCase.js';
 import * as decisionCost from './policy/decisionCost.js';
 import * as policies from './policy/policies.js';
 import type * as policyRun from './policy/policyRun.js';
 
-const CASE = new URL('./policy/case.js', import.meta.url).pathname;
-const OUTPUT = new URL('../../../docs/design/policy-figures.json', import.meta.url).pathname;
+const CASE_MODULE = new URL('./policy/benchmarkCase.js', import.meta.url).pathname;
+const OUTPUT_FILE = new URL('../../../docs/design/policy-figures.json', import.meta.url).pathname;
 const DURATION = 120_000;
 const SEED = 1;
-const LOADS: readonly number[] = [0.7, 1, 1.5];
-const SATURATING = 20_000;
-const IDLE = 60;
-const FAULTS: readonly policyRun.MeasuredFault[] = ['death', 'freeze', 'reclaim'];
+const LOAD_FACTORS: readonly number[] = [0.7, 1, 1.5];
+const SATURATING_TOKENS_PER_SECOND = 20_000;
+const IDLE_TOKENS_PER_SECOND = 60;
+const FAULTS: readonly policyRun.InjectedFault[] = ['death', 'freeze', 'reclaim'];
 const UPSTREAMS = 600;
-/** What each user weighs decides how cautious its forecast is: throughput, or preemptions. */
+/** Safety margin of the memory forecast in standard deviations: fewer favour throughput, more avoid preemptions. */
 const HEADROOM = { tuckshop: { deviations: 1.5 }, lankaroute: { deviations: 2 } } as const;
-const LONG_SHARE = { tuckshop: 0.9, lankaroute: 0.94 } as const;
+const LONG_TOKEN_SHARE = { tuckshop: 0.9, lankaroute: 0.94 } as const;
 
-type Deployment = caseTypes.CaseOptions['deployment'];
+type Deployment = benchmarkCase.BenchmarkCaseOptions['deployment'];
 
 interface Row {
   readonly deployment: Deployment;
   readonly load: string;
   readonly policy: string;
-  readonly fault: policyRun.MeasuredFault;
+  readonly fault: policyRun.InjectedFault;
   readonly figures: policyRun.PolicyFigures;
 }
 
 interface PlannedCase {
   readonly load: string;
-  readonly options: caseTypes.CaseOptions;
+  readonly options: benchmarkCase.BenchmarkCaseOptions;
 }
 
-function runCase(options: caseTypes.CaseOptions): Promise<policyRun.PolicyFigures> {
+function runCase(options: benchmarkCase.BenchmarkCaseOptions): Promise<policyRun.PolicyFigures> {
   return new Promise((resolve, reject) => {
-    childProcess.execFile(process.execPath, [CASE, JSON.stringify(options)], (error, stdout) => {
+    childProcess.execFile(process.execPath, [CASE_MODULE, JSON.stringify(options)], (error, stdout) => {
       if (error === null) {
         resolve(JSON.parse(stdout) as policyRun.PolicyFigures);
       } else {
-        reject(new Error(`case ${JSON.stringify(options)} failed`, { cause: error }));
+        reject(new Error(`benchmark case failed: ${JSON.stringify(options)}`, { cause: error }));
       }
     });
   });
 }
 
-/** Runs cases side by side, no more than the machine has cores for. */
-async function runAll(cases: readonly PlannedCase[]): Promise<readonly Row[]> {
+/** Runs cases in parallel processes, one fewer than the machine has cores. */
+async function runCases(cases: readonly PlannedCase[]): Promise<readonly Row[]> {
   const rows: Row[] = [];
   let next = 0;
   const worker = async (): Promise<void> => {
     for (let position = next++; position < cases.length; position = next++) {
-      const planned = cases[position];
-      if (planned !== undefined) {
-        const { deployment, policy, fault } = planned.options;
+      const plannedCase = cases[position];
+      if (plannedCase !== undefined) {
+        const { deployment, policy, fault } = plannedCase.options;
         rows[position] = {
           deployment,
           policy,
           fault,
-          load: planned.load,
-          figures: await runCase(planned.options),
+          load: plannedCase.load,
+          figures: await runCase(plannedCase.options),
         };
       }
     }
@@ -74,12 +74,12 @@
   return rows;
 }
 
-function planned(
+function planCase(
   deployment: Deployment,
   policy: string,
   load: string,
   tokensPerSecond: number,
-  fault: policyRun.MeasuredFault = 'none',
+  fault: policyRun.InjectedFault = 'none',
 ): PlannedCase {
   return {
     load,
@@ -95,23 +95,25 @@
   };
 }
 
-/** Capacity: what the best baseline brings through when more is offered than can be served. */
-async function capacityOf(deployment: Deployment): Promise<number> {
-  const rows = await runAll(
-    policies.baselineNames.map((policy) => planned(deployment, policy, 'full', SATURATING)),
+/** Capacity in tokens per second, from the highest throughput of any baseline under saturating load. */
+async function measureCapacity(deployment: Deployment): Promise<number> {
+  const rows = await runCases(
+    policies.baselineNames.map((policy) =>
+      planCase(deployment, policy, 'full', SATURATING_TOKENS_PER_SECOND),
+    ),
   );
-  return Math.max(...rows.map((row) => row.figures.longThroughput)) / LONG_SHARE[deployment];
+  return Math.max(...rows.map((row) => row.figures.longThroughput)) / LONG_TOKEN_SHARE[deployment];
 }
 
 function casesFor(deployment: Deployment, capacity: number): readonly PlannedCase[] {
   const names = Object.keys(policies.policies);
   return [
-    planned(deployment, 'policy', 'idle', IDLE),
-    ...LOADS.flatMap((load) =>
-      names.map((policy) => planned(deployment, policy, `${load}x`, capacity * load)),
+    planCase(deployment, 'policy', 'idle', IDLE_TOKENS_PER_SECOND),
+    ...LOAD_FACTORS.flatMap((load) =>
+      names.map((policy) => planCase(deployment, policy, `${load}x`, capacity * load)),
     ),
     ...FAULTS.flatMap((fault) =>
-      ['policy', 'leastLoaded'].map((policy) => planned(deployment, policy, '1x', capacity, fault)),
+      ['policy', 'leastLoaded'].map((policy) => planCase(deployment, policy, '1x', capacity, fault)),
     ),
   ];
 }
@@ -134,7 +136,7 @@
 
 function cells(row: Row): readonly string[] {
   const { figures } = row;
-  const list = (values: Readonly<Record<string, number>>): string =>
+  const joinRounded = (values: Readonly<Record<string, number>>): string =>
     Object.values(values)
       .map((value) => value.toFixed(0))
       .join('/');
@@ -143,8 +145,8 @@
     row.load,
     row.fault,
     row.policy,
-    list(figures.urgentStall),
-    list(figures.betweenTokens),
+    joinRounded(figures.urgentStall),
+    joinRounded(figures.betweenTokens),
     figures.engineStep.toFixed(1),
     String(figures.preemptions),
     String(figures.wastedTokens),
@@ -155,31 +157,31 @@
   ];
 }
 
-function say(text: string): void {
+function printLine(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
 const deployments: readonly Deployment[] = ['tuckshop', 'lankaroute'];
-const capacities = await Promise.all(deployments.map(capacityOf));
+const capacities = await Promise.all(deployments.map(measureCapacity));
 const rows: Row[] = [];
 for (const [position, deployment] of deployments.entries()) {
-  rows.push(...(await runAll(casesFor(deployment, capacities[position] ?? 0))));
+  rows.push(...(await runCases(casesFor(deployment, capacities[position] ?? 0))));
 }
 const costs = [decisionCost.measure(UPSTREAMS, 1), decisionCost.measure(UPSTREAMS, 20)];
-say(`| ${COLUMNS.join(' | ')} |`);
-say(`|${COLUMNS.map(() => ' --- |').join('')}`);
+printLine(`| ${COLUMNS.join(' | ')} |`);
+printLine(`|${COLUMNS.map(() => ' --- |').join('')}`);
 for (const row of rows) {
-  say(`| ${cells(row).join(' | ')} |`);
+  printLine(`| ${cells(row).join(' | ')} |`);
 }
-say('');
-say(
+printLine('');
+printLine(
   `Capacity, tokens/s: ${deployments.map((name, position) => `${name} ${(capacities[position] ?? 0).toFixed(0)}`).join(', ')}.`,
 );
 for (const { upstreams, inFlight, urgent, patient } of costs) {
-  const each = `urgent ${urgent.toFixed(1)} us, patient ${patient.toFixed(1)} us`;
-  say(`One decision with ${upstreams} upstreams and ${inFlight} in flight: ${each}.`);
+  const costText = `urgent ${urgent.toFixed(1)} us, patient ${patient.toFixed(1)} us`;
+  printLine(`One decision with ${upstreams} upstreams and ${inFlight} in flight: ${costText}.`);
 }
 fs.writeFileSync(
-  OUTPUT,
+  OUTPUT_FILE,
   `${JSON.stringify({ duration: DURATION, seed: SEED, capacities, costs, rows }, null, 2)}\n`,
 );
--- a/packages/benchmarks/src/measureFleet.ts
+++ b/packages/benchmarks/src/measureFleet.ts
@@ -1,11 +1,12 @@
 /**
- * `npm run measure:fleet`: what callers of crowded fleets earn, on stand-in engines and virtual time, as a table.
+ * `npm run measure:fleet`: simulates the fleets of `fleetCases` in virtual time and prints the share of the value that
+ * callers received and the outcomes of long requests.
  */
 import * as fleetCases from './fleet/fleetCases.js';
-import type * as fleetLedger from './fleet/fleetLedger.js';
+import type * as fleetScorer from './fleet/fleetScorer.js';
 import * as fleetRun from './fleet/fleetRun.js';
 
-/** Plays of each fleet; what they show differs by two or three in a hundred from seed to seed. */
+/** Each fleet is simulated once per seed; the table shows the mean. */
 const SEEDS: readonly number[] = [1, 2, 3];
 
 const COLUMNS = [
@@ -20,34 +21,34 @@
   'LOST',
 ];
 
-function inHundred(value: number): string {
+function percentage(value: number): string {
   return (100 * value).toFixed(1);
 }
 
-function rowOf(name: string, runs: readonly fleetLedger.FleetFigures[]): readonly string[] {
-  const mean = (of: (figures: fleetLedger.FleetFigures) => number): number =>
-    runs.reduce((sum, figures) => sum + of(figures), 0) / runs.length;
-  const shareOfLong = (of: (figures: fleetLedger.ClassFigures) => number): string =>
-    inHundred(mean(({ long }) => of(long) / long.asked));
+function tableRow(name: string, runs: readonly fleetScorer.FleetFigures[]): readonly string[] {
+  const mean = (select: (figures: fleetScorer.FleetFigures) => number): number =>
+    runs.reduce((sum, figures) => sum + select(figures), 0) / runs.length;
+  const longShare = (select: (figures: fleetScorer.ClassFigures) => number): string =>
+    percentage(mean(({ long }) => select(long) / long.requested));
   return [
     name,
-    inHundred(mean((figures) => figures.earned)),
-    inHundred(mean((figures) => figures.lateRefusals)),
-    inHundred(mean((figures) => figures.secondRefusals)),
-    shareOfLong((long) => long.inTime),
-    shareOfLong((long) => long.lateFirst),
-    shareOfLong((long) => long.paused),
-    shareOfLong((long) => long.refused),
-    shareOfLong((long) => long.lost),
+    percentage(mean((figures) => figures.earned)),
+    percentage(mean((figures) => figures.lateRefusals)),
+    percentage(mean((figures) => figures.secondRefusals)),
+    longShare((long) => long.inTime),
+    longShare((long) => long.lateFirst),
+    longShare((long) => long.paused),
+    longShare((long) => long.refused),
+    longShare((long) => long.lost),
   ];
 }
 
 const rows: (readonly string[])[] = [COLUMNS];
 for (const [name, fleet] of Object.entries(fleetCases)) {
   rows.push(
-    rowOf(
+    tableRow(
       name,
-      SEEDS.map((seed) => fleetRun.play({ ...fleet, seed })),
+      SEEDS.map((seed) => fleetRun.simulate({ ...fleet, seed })),
     ),
   );
 }
--- a/packages/benchmarks/src/pairedDifference.ts
+++ b/packages/benchmarks/src/pairedDifference.ts
@@ -1,28 +1,28 @@
 /**
- * Mean difference of two series that were measured on the same seeds, with its standard error.
+ * Paired comparison of two series measured on the same seeds: mean difference and standard error.
  */
 
-/** A difference; what lies within twice the error is no difference. */
+/** A mean difference; not significant where it is within twice its standard error. */
 export interface PairedDifference {
   readonly mean: number;
-  readonly error: number;
+  readonly standardError: number;
 }
 
 /**
- * Compares pair by pair, which takes out what a seed does to both.
+ * Compares two series pair by pair, which removes the variation between seeds.
  *
- * @param first - one figure a seed
- * @param second - the same seeds in the same order
- * @returns mean of first less second, and its standard error
+ * @param first - one value per seed
+ * @param second - values for the same seeds in the same order
+ * @returns mean of `first` minus `second`, and its standard error
  * @example
  * ```ts
- * pairedDifference.of([0.5, 0.7], [0.4, 0.6]); // { mean: 0.1, error: 0 }
+ * pairedDifference.compare([0.5, 0.7], [0.4, 0.6]); // { mean: 0.1, standardError: 0 }
  * ```
  */
-export function of(first: readonly number[], second: readonly number[]): PairedDifference {
+export function compare(first: readonly number[], second: readonly number[]): PairedDifference {
   const differences = first.map((value, index) => value - (second[index] ?? Number.NaN));
   const count = differences.length;
   const mean = differences.reduce((sum, value) => sum + value, 0) / count;
-  const squares = differences.reduce((sum, value) => sum + (value - mean) ** 2, 0);
-  return { mean, error: Math.sqrt(squares / Math.max(1, count - 1) / count) };
+  const sumOfSquares = differences.reduce((sum, value) => sum + (value - mean) ** 2, 0);
+  return { mean, standardError: Math.sqrt(sumOfSquares / Math.max(1, count - 1) / count) };
 }
--- a/packages/benchmarks/src/policy/baselines.ts
+++ b/packages/benchmarks/src/policy/baselines.ts
@@ -1,11 +1,11 @@
 /**
- * Baselines that the policy is measured against, as placement policies.
+ * Baseline placement policies that the product's policy is compared with: round robin, least loaded and a single queue.
  */
 import type * as kumquatfront from 'kumquatfront';
 
 type Policy = kumquatfront.routingTypes.PlacementPolicy;
 type Options = kumquatfront.localPlacement.LocalPlacementOptions;
-type Record = kumquatfront.upstreamTable.UpstreamRecord;
+type UpstreamRecord = kumquatfront.upstreamTable.UpstreamRecord;
 
 const RETRY_AFTER = 1_000;
 
@@ -14,8 +14,11 @@
   return () => undefined;
 }
 
-/** Usable upstreams, with the same health checks that the policy has. */
-function usable(options: Options, request: kumquatfront.routingTypes.PlacementRequest): readonly Record[] {
+/** Upstreams that can take the request, by the same health checks as the product's policy. */
+function usableUpstreams(
+  options: Options,
+  request: kumquatfront.routingTypes.PlacementRequest,
+): readonly UpstreamRecord[] {
   const now = options.timers.now();
   return options.directory.table
     .candidates(request.upstreams)
@@ -27,12 +30,12 @@
     );
 }
 
-function immediate(
-  pick: (options: Options, candidates: readonly Record[]) => Record | undefined,
+function createImmediatePolicy(
+  select: (options: Options, candidates: readonly UpstreamRecord[]) => UpstreamRecord | undefined,
 ): (options: Options) => Policy {
   return (options) => ({
     place: (request, done) => {
-      const upstream = pick(options, usable(options, request));
+      const upstream = select(options, usableUpstreams(options, request));
       if (upstream === undefined) {
         return refuse(done);
       }
@@ -46,9 +49,9 @@
 }
 
 /**
- * Each request to the next engine.
+ * Creates a policy that sends each request to the next engine in turn.
  *
- * @param options - what a policy is made from
+ * @param options - dependencies and settings of the policy
  * @returns the policy
  * @example
  * ```ts
@@ -56,20 +59,20 @@
  * ```
  */
 export function roundRobin(options: Options): Policy {
-  let turn = Math.floor(options.random.next() * 1_000);
-  return immediate((_options, candidates) => candidates[(turn += 1) % Math.max(1, candidates.length)])(
-    options,
-  );
+  let position = Math.floor(options.random.next() * 1_000);
+  return createImmediatePolicy(
+    (_options, candidates) => candidates[(position += 1) % Math.max(1, candidates.length)],
+  )(options);
 }
 
-function reportedLoad(record: Record): number {
+function reportedLoad(record: UpstreamRecord): number {
   return (record.load?.running ?? 0) + (record.load?.waiting ?? 0);
 }
 
 /**
- * Each request to the engine with the least load in its last report.
+ * Creates a policy that sends each request to the engine with the lowest load in its last report.
  *
- * @param options - what a policy is made from
+ * @param options - dependencies and settings of the policy
  * @returns the policy
  * @example
  * ```ts
@@ -77,27 +80,33 @@
  * ```
  */
 export function leastLoaded(options: Options): Policy {
-  return immediate((_options, candidates) => {
-    const least = Math.min(...candidates.map(reportedLoad));
-    return candidates.find((candidate) => reportedLoad(candidate) === least);
+  return createImmediatePolicy((_options, candidates) => {
+    const minimumLoad = Math.min(...candidates.map(reportedLoad));
+    return candidates.find((candidate) => reportedLoad(candidate) === minimumLoad);
   })(options);
 }
 
-/** Waits in one first-come queue until an engine has a free slot, by its last report and own dispatches. */
+/**
+ * First-come, first-served queue: a request waits until an engine has a free slot by its last report and this entry's
+ * dispatches since then.
+ */
 class SingleQueue implements Policy {
   private readonly options: Options;
   private readonly queue: {
     readonly request: kumquatfront.routingTypes.PlacementRequest;
     readonly done: (placement: kumquatfront.routingTypes.Placement) => void;
   }[] = [];
-  private readonly own = new Map<string, { readonly upstream: string; readonly since: number }>();
+  private readonly dispatches = new Map<
+    string,
+    { readonly upstream: string; readonly dispatchedAt: number }
+  >();
 
   constructor(options: Options) {
     this.options = options;
     options.timers.every(
       () => 50,
       () => {
-        this.pump();
+        this.dispatchWaiting();
       },
     );
   }
@@ -108,7 +117,7 @@
   ): () => void {
     const item = { request, done };
     this.queue.push(item);
-    this.pump();
+    this.dispatchWaiting();
     return () => {
       const position = this.queue.indexOf(item);
       if (position >= 0) {
@@ -117,33 +126,35 @@
     };
   }
 
-  private hasSlot(record: Record): boolean {
-    const since = [...this.own.values()].filter(
-      (dispatch) => dispatch.upstream === record.announcement.name && dispatch.since > record.loadAt,
+  private hasFreeSlot(record: UpstreamRecord): boolean {
+    const dispatchedSinceReport = [...this.dispatches.values()].filter(
+      (dispatch) => dispatch.upstream === record.announcement.name && dispatch.dispatchedAt > record.loadAt,
     ).length;
-    return reportedLoad(record) + since < record.announcement.slots;
+    return reportedLoad(record) + dispatchedSinceReport < record.announcement.slots;
   }
 
-  private pump(): void {
+  private dispatchWaiting(): void {
     for (let head = this.queue[0]; head !== undefined; head = this.queue[0]) {
-      const free = usable(this.options, head.request).find((record) => this.hasSlot(record));
-      if (free === undefined) {
+      const freeUpstream = usableUpstreams(this.options, head.request).find((record) =>
+        this.hasFreeSlot(record),
+      );
+      if (freeUpstream === undefined) {
         return;
       }
       this.queue.shift();
-      const upstream = free.announcement.name;
-      this.own.set(head.request.requestId, { upstream, since: this.options.timers.now() });
-      head.done({ type: 'granted', upstream: free });
+      const upstream = freeUpstream.announcement.name;
+      this.dispatches.set(head.request.requestId, { upstream, dispatchedAt: this.options.timers.now() });
+      head.done({ type: 'granted', upstream: freeUpstream });
     }
   }
 
   progressed(): void {
-    // A slot is a slot, however far its generation has come.
+    // A generation holds its slot until it finishes; its progress has no effect.
   }
 
   finished(requestId: string): void {
-    this.own.delete(requestId);
-    this.pump();
+    this.dispatches.delete(requestId);
+    this.dispatchWaiting();
   }
 
   waiting(): number {
@@ -152,9 +163,9 @@
 }
 
 /**
- * One first-come queue an entry.
+ * Creates a policy with one first-come, first-served queue per entry.
  *
- * @param options - what a policy is made from
+ * @param options - dependencies and settings of the policy
  * @returns the policy
  * @example
  * ```ts
--- a/packages/benchmarks/src/policy/case.ts
+++ b/packages/benchmarks/src/policy/benchmarkCase.ts
@@ -1,6 +1,6 @@
 /**
- * Runs one case of the measurement in a process of its own, so that cases run side by side: its options are
- * JSON on the command line, its figures JSON on standard output.
+ * Child process of `npm run measure` that runs one benchmark case: reads its options as JSON from the command line and
+ * prints the figures as JSON to standard output.
  */
 import * as kumquatfront from 'kumquatfront';
 
@@ -8,27 +8,27 @@
 import * as policyRun from './policyRun.js';
 import * as workload from './workload.js';
 
-/** What a case is told. */
-export interface CaseOptions {
+/** Options of one benchmark case. */
+export interface BenchmarkCaseOptions {
   readonly deployment: 'tuckshop' | 'lankaroute';
   readonly policy: string;
-  /** Offered output tokens a second over all engines. */
+  /** Offered load in output tokens per second over all engines. */
   readonly tokensPerSecond: number;
   readonly duration: number;
-  readonly fault: policyRun.MeasuredFault;
+  readonly fault: policyRun.InjectedFault;
   readonly seed: number;
   readonly headroom?: Partial<kumquatfront.headroom.HeadroomSettings>;
 }
 
-const options = JSON.parse(process.argv[2] ?? '{}') as CaseOptions;
+const options = JSON.parse(process.argv[2] ?? '{}') as BenchmarkCaseOptions;
 const deployment = workload[options.deployment];
-const created = policies.policies[options.policy] ?? policies.policies.policy;
+const createPolicy = policies.policies[options.policy] ?? policies.policies.policy;
 const figures = policyRun.run({
   deployment,
   arrivals: workload.create(deployment, options.tokensPerSecond, options.duration, options.seed),
   duration: options.duration,
   createPlacement: (placement) =>
-    created?.({ ...placement, headroom: { ...placement.headroom, ...options.headroom } }) ??
+    createPolicy?.({ ...placement, headroom: { ...placement.headroom, ...options.headroom } }) ??
     new kumquatfront.localPlacement.LocalPlacement(placement),
   fault: options.fault,
   seed: options.seed,
--- a/packages/benchmarks/src/policy/decisionCost.ts
+++ b/packages/benchmarks/src/policy/decisionCost.ts
@@ -1,9 +1,9 @@
 /**
- * Cost of one decision with many upstreams, on this machine's clock.
+ * Measures the time that one placement decision takes with many upstreams.
  */
 import * as kumquatfront from 'kumquatfront';
 
-/** Microseconds for one decision. */
+/** Mean time of one decision, in microseconds. */
 export interface DecisionCost {
   readonly upstreams: number;
   /** Generations that the deciding process has in flight. */
@@ -12,26 +12,30 @@
   readonly patient: number;
 }
 
-const ROUNDS = 4_000;
+const DECISIONS = 4_000;
 
-function announce(table: kumquatfront.upstreamTable.UpstreamTable, name: string): void {
+function addUpstream(table: kumquatfront.upstreamTable.UpstreamTable, name: string): void {
   const common = { name, incarnation: 1, sequence: 1 };
-  const place = {
+  const attributes = {
     address: `http://${name}`,
     kind: 'engine',
     labels: { pool: 'llm' },
     dataCentre: 'c',
   } as const;
-  table.announce({ ...common, ...place, memoryTokens: 1e6, slots: 1_000, lease: 1e9, leaving: false }, 0, 0);
+  table.announce(
+    { ...common, ...attributes, memoryTokens: 1e6, slots: 1_000, lease: 1e9, leaving: false },
+    0,
+    0,
+  );
   table.report({ ...common, running: 20, waiting: 0, usedTokens: 16_000 }, 0, 0);
 }
 
 /**
- * Measures urgent and patient decisions.
+ * Measures the mean time of urgent and of patient decisions.
  *
- * @param upstreams - engines of the deployment
- * @param runningEach - generations in flight on each
- * @returns microseconds
+ * @param upstreams - number of engines
+ * @param runningEach - generations in flight on each engine
+ * @returns mean times in microseconds
  * @example
  * ```ts
  * decisionCost.measure(600, 1);
@@ -42,11 +46,11 @@
   const timers = kumquatfront.timerService.create(clock, { after: () => () => undefined });
   const table = new kumquatfront.upstreamTable.UpstreamTable();
   for (let position = 0; position < upstreams; position += 1) {
-    announce(table, `engine-${position}`);
+    addUpstream(table, `engine-${position}`);
   }
-  const noDirectory = { table, onNews: () => undefined, onGone: () => undefined };
+  const directoryStub = { table, onNews: () => undefined, onGone: () => undefined };
   const placement = new kumquatfront.localPlacement.LocalPlacement({
-    directory: noDirectory,
+    directory: directoryStub,
     estimator: new kumquatfront.lengthEstimator.LengthEstimator(),
     health: new kumquatfront.health.Health(),
     timers,
@@ -74,16 +78,21 @@
       produced: 200,
     });
   }
-  const cost = (urgency: 'urgent' | 'patient'): number => {
+  const measureCost = (urgency: 'urgent' | 'patient'): number => {
     const startedAt = clock.now();
-    for (let round = 0; round < ROUNDS; round += 1) {
+    for (let round = 0; round < DECISIONS; round += 1) {
       const requestId = `${urgency}-${round}`;
       placement.place(request(requestId, urgency), () => undefined);
       placement.finished(requestId, 0, false);
     }
-    return ((clock.now() - startedAt) / ROUNDS) * 1_000;
+    return ((clock.now() - startedAt) / DECISIONS) * 1_000;
+  };
+  measureCost('urgent');
+  measureCost('patient');
+  return {
+    upstreams,
+    inFlight: upstreams * runningEach,
+    urgent: measureCost('urgent'),
+    patient: measureCost('patient'),
   };
-  cost('urgent');
-  cost('patient');
-  return { upstreams, inFlight: upstreams * runningEach, urgent: cost('urgent'), patient: cost('patient') };
 }
--- a/packages/benchmarks/src/policy/policies.ts
+++ b/packages/benchmarks/src/policy/policies.ts
@@ -1,5 +1,6 @@
 /**
- * The policies that are measured: the product's, the baselines, and the product's with one part taken out.
+ * Placement policies under comparison: the product's policy, the baselines, and the product's policy with one feature
+ * removed.
  */
 import * as kumquatfront from 'kumquatfront';
 
@@ -7,12 +8,14 @@
 
 type Options = kumquatfront.coordinatedPlacement.CoordinatedPlacementOptions;
 
-function own(change: (options: Options) => Partial<Options>): kumquatfront.entryNode.CreatePlacement {
+function createCoordinated(
+  change: (options: Options) => Partial<Options>,
+): kumquatfront.entryNode.CreatePlacement {
   return (options) =>
     new kumquatfront.coordinatedPlacement.CoordinatedPlacement({ ...options, ...change(options) });
 }
 
-const chooseAny: kumquatfront.choice.Choose = (request, candidates, context) => {
+const chooseAtRandom: kumquatfront.choice.Choose = (request, candidates, context) => {
   const usable = candidates.filter((candidate) => kumquatfront.choice.isUsable(request, candidate, context));
   return usable[Math.floor(context.random.next() * usable.length)];
 };
@@ -23,19 +26,19 @@
   deviations: 0,
 };
 
-/** Policies by name. */
+/** Factories of the policies by the name under which results are reported. */
 export const policies: Readonly<Record<string, kumquatfront.entryNode.CreatePlacement>> = {
-  policy: own(() => ({})),
+  policy: createCoordinated(() => ({})),
   withoutCoordinator: (options) => new kumquatfront.localPlacement.LocalPlacement(options),
   roundRobin: baselines.roundRobin,
   leastLoaded: baselines.leastLoaded,
   singleQueue: baselines.singleQueue,
-  withoutHeadroom: own(() => ({ headroom: NO_HEADROOM })),
-  withoutReserve: own((options) => ({
+  withoutHeadroom: createCoordinated(() => ({ headroom: NO_HEADROOM })),
+  withoutReserve: createCoordinated((options) => ({
     headroom: { ...options.headroom, reservedMemory: 0, reservedSlots: 0 },
   })),
-  withoutTwoChoices: own(() => ({ choose: chooseAny })),
+  withoutTwoChoices: createCoordinated(() => ({ choose: chooseAtRandom })),
 };
 
-/** Names of the baselines. */
+/** Names of the baseline policies in `policies`. */
 export const baselineNames: readonly string[] = ['roundRobin', 'leastLoaded', 'singleQueue'];
--- a/packages/benchmarks/src/policy/policyRun.ts
+++ b/packages/benchmarks/src/policy/policyRun.ts
@@ -1,5 +1,5 @@
 /**
- * One measured run: a workload against entries and engines on virtual time.
+ * Runs a workload against simulated entries and engines in virtual time and measures latency, throughput and wasted work.
  */
 import * as histograms from 'hdr-histogram-js';
 import * as kumquatfront from 'kumquatfront';
@@ -7,39 +7,39 @@
 
 import type * as workload from './workload.js';
 
-/** A fault in the middle of a run. */
-export type MeasuredFault = 'none' | 'death' | 'freeze' | 'reclaim';
+/** Fault injected halfway through a run. */
+export type InjectedFault = 'none' | 'death' | 'freeze' | 'reclaim';
 
-/** What a run is made from. */
+/** Options of a run; the duration is in milliseconds. */
 export interface PolicyRunOptions {
   readonly deployment: workload.MeasuredDeployment;
   readonly arrivals: readonly workload.Arrival[];
   readonly duration: number;
   readonly createPlacement: kumquatfront.entryNode.CreatePlacement;
-  readonly fault: MeasuredFault;
+  readonly fault: InjectedFault;
   readonly seed: number;
 }
 
-/** Figures of a run; times in milliseconds, lengths in tokens. */
+/** Results of a run; times in milliseconds. */
 export interface PolicyFigures {
   readonly urgentStall: { readonly p50: number; readonly p99: number; readonly max: number };
   readonly betweenTokens: { readonly p50: number; readonly p99: number; readonly p999: number };
-  /** p99 of the engines' own steps in the same run. */
+  /** p99 of the duration of the engines' steps. */
   readonly engineStep: number;
   readonly preemptions: number;
   readonly wastedTokens: number;
-  /** Tokens of long answers that reached callers, a second. */
+  /** Tokens per second of long responses that reached callers. */
   readonly longThroughput: number;
   readonly refused: number;
   readonly interrupted: number;
   readonly longWait: { readonly p50: number; readonly p99: number };
-  /** Urgent calls that did not get their first token within the run. */
+  /** Urgent requests without a first token at the end of the run. */
   readonly urgentLost: number;
 }
 
-const WARM_UP = 20_000;
-const SCALE = 100;
-const KEY = 'measure-key';
+const WARM_UP_DURATION = 20_000;
+const HISTOGRAM_SCALE = 100;
+const KEY_PREFIX = 'measure-key';
 
 function histogram(): histograms.Histogram {
   return histograms.build({
@@ -50,11 +50,11 @@
 }
 
 function quantile(source: histograms.Histogram, share: number): number {
-  return source.totalCount === 0 ? 0 : source.getValueAtPercentile(share * 100) / SCALE;
+  return source.totalCount === 0 ? 0 : source.getValueAtPercentile(share * 100) / HISTOGRAM_SCALE;
 }
 
-/** Gathers figures while a run goes on. */
-class Gatherer {
+/** Accumulates measurements during a run. */
+class RunMetrics {
   readonly urgentStall = histogram();
   readonly betweenTokens = histogram();
   readonly longWait = histogram();
@@ -62,7 +62,7 @@
   longTokens = 0;
   refused = 0;
   interrupted = 0;
-  urgentOpen = 0;
+  urgentPending = 0;
 }
 
 function accountDrafts(): readonly kumquatfront.configurationTypes.ConfigurationDraft[] {
@@ -71,7 +71,7 @@
     name: `account-${position}`,
     body: {
       market: 'wa-perth',
-      keyHashes: [kumquatfront.trafficResolver.hashKey(`${KEY}-account-${position}`)],
+      keyHashes: [kumquatfront.trafficResolver.hashKey(`${KEY_PREFIX}-account-${position}`)],
     },
   }));
 }
@@ -94,7 +94,7 @@
 function addEngines(
   session: scenarios.session.Session,
   deployment: workload.MeasuredDeployment,
-  gatherer: Gatherer,
+  metrics: RunMetrics,
 ): void {
   for (let position = 1; position <= deployment.engines; position += 1) {
     session.world.addEngine(`engine-${position}`, {
@@ -102,7 +102,7 @@
       reportLag: 500,
       checksFencing: true,
       onStep: (duration) => {
-        gatherer.engineStep.recordValue(Math.round(duration * SCALE));
+        metrics.engineStep.recordValue(Math.round(duration * HISTOGRAM_SCALE));
       },
       options: {
         memoryTokens: deployment.memoryTokens,
@@ -117,37 +117,37 @@
   }
 }
 
-function send(
+function sendRequest(
   session: scenarios.session.Session,
   arrival: workload.Arrival,
-  gatherer: Gatherer,
-  measured: () => boolean,
+  metrics: RunMetrics,
+  isMeasuring: () => boolean,
 ): void {
   const { time, entries } = session.world;
   const node = entries.get(`entry-${arrival.entry + 1}`)?.node;
   const startedAt = time.now();
-  let lastAt: number | undefined;
-  if (arrival.urgent && measured()) {
-    gatherer.urgentOpen += 1;
+  let lastTokenAt: number | undefined;
+  if (arrival.urgent && isMeasuring()) {
+    metrics.urgentPending += 1;
   }
-  const counted = measured();
+  const isCounted = isMeasuring();
   const onToken = (): void => {
     const now = time.now();
-    if (counted && lastAt === undefined) {
-      const waited = Math.round((now - startedAt) * SCALE);
-      (arrival.urgent ? gatherer.urgentStall : gatherer.longWait).recordValue(waited);
-      gatherer.urgentOpen -= arrival.urgent ? 1 : 0;
-    } else if (counted && lastAt !== undefined && !arrival.urgent) {
-      gatherer.betweenTokens.recordValue(Math.round((now - lastAt) * SCALE));
+    if (isCounted && lastTokenAt === undefined) {
+      const waitTime = Math.round((now - startedAt) * HISTOGRAM_SCALE);
+      (arrival.urgent ? metrics.urgentStall : metrics.longWait).recordValue(waitTime);
+      metrics.urgentPending -= arrival.urgent ? 1 : 0;
+    } else if (isCounted && lastTokenAt !== undefined && !arrival.urgent) {
+      metrics.betweenTokens.recordValue(Math.round((now - lastTokenAt) * HISTOGRAM_SCALE));
     }
-    if (!arrival.urgent && measured()) {
-      gatherer.longTokens += 1;
+    if (!arrival.urgent && isMeasuring()) {
+      metrics.longTokens += 1;
     }
-    lastAt = now;
+    lastTokenAt = now;
   };
   node?.requests.generate(
     {
-      bearerKey: `${KEY}-${arrival.account}`,
+      bearerKey: `${KEY_PREFIX}-${arrival.account}`,
       labelsHeader: `traffic=${arrival.urgent ? 'question' : 'report'}`,
       path: '/v1/completions',
       body: {
@@ -166,15 +166,15 @@
       restarted: () => undefined,
       ended: () => undefined,
       refused: (refusal) => {
-        gatherer.refused += refusal.kind === 'notRun' ? 1 : 0;
-        gatherer.interrupted += refusal.kind === 'interrupted' ? 1 : 0;
-        gatherer.urgentOpen -= arrival.urgent && counted && lastAt === undefined ? 1 : 0;
+        metrics.refused += refusal.kind === 'notRun' ? 1 : 0;
+        metrics.interrupted += refusal.kind === 'interrupted' ? 1 : 0;
+        metrics.urgentPending -= arrival.urgent && isCounted && lastTokenAt === undefined ? 1 : 0;
       },
     },
   );
 }
 
-function scheduleFault(session: scenarios.session.Session, fault: MeasuredFault, at: number): void {
+function scheduleFault(session: scenarios.session.Session, fault: InjectedFault, at: number): void {
   const { world } = session;
   world.time.after(at, () => {
     if (fault === 'death') {
@@ -190,8 +190,8 @@
   });
 }
 
-/** Preemptions and wasted tokens of all engines so far. */
-function waste(session: scenarios.session.Session): {
+/** Sums the preemptions and wasted tokens of all engines. */
+function totalWaste(session: scenarios.session.Session): {
   readonly preemptions: number;
   readonly wastedTokens: number;
 } {
@@ -203,38 +203,38 @@
 }
 
 /**
- * Runs a workload.
+ * Runs a workload and measures it after the warm-up period.
  *
- * @param options - the workload and the policy
- * @returns its figures
+ * @param options - deployment, workload, policy and fault
+ * @returns the results
  * @example
  * ```ts
  * const figures = policyRun.run({ deployment, arrivals, duration, createPlacement, fault: 'none', seed: 7 });
  * ```
  */
 export function run(options: PolicyRunOptions): PolicyFigures {
-  const gatherer = new Gatherer();
+  const metrics = new RunMetrics();
   const session = createSession(options);
   const { world } = session;
-  addEngines(session, options.deployment, gatherer);
+  addEngines(session, options.deployment, metrics);
   world.time.advance(2_000);
   const startAt = world.time.now();
-  const measured = (): boolean => {
+  const isMeasuring = (): boolean => {
     const elapsed = world.time.now() - startAt;
-    return elapsed >= WARM_UP && elapsed <= options.duration;
+    return elapsed >= WARM_UP_DURATION && elapsed <= options.duration;
   };
   scheduleFault(session, options.fault, options.duration / 2);
   for (const arrival of options.arrivals) {
     world.time.after(arrival.at, () => {
-      send(session, arrival, gatherer, measured);
+      sendRequest(session, arrival, metrics, isMeasuring);
     });
   }
-  world.time.advance(WARM_UP);
-  const before = waste(session);
-  world.time.advance(options.duration - WARM_UP);
-  const after = waste(session);
-  const seconds = (options.duration - WARM_UP) / 1_000;
-  const { urgentStall, betweenTokens, longWait } = gatherer;
+  world.time.advance(WARM_UP_DURATION);
+  const before = totalWaste(session);
+  world.time.advance(options.duration - WARM_UP_DURATION);
+  const after = totalWaste(session);
+  const seconds = (options.duration - WARM_UP_DURATION) / 1_000;
+  const { urgentStall, betweenTokens, longWait } = metrics;
   return {
     urgentStall: {
       p50: quantile(urgentStall, 0.5),
@@ -246,13 +246,13 @@
       p99: quantile(betweenTokens, 0.99),
       p999: quantile(betweenTokens, 0.999),
     },
-    engineStep: quantile(gatherer.engineStep, 0.99),
+    engineStep: quantile(metrics.engineStep, 0.99),
     preemptions: after.preemptions - before.preemptions,
     wastedTokens: after.wastedTokens - before.wastedTokens,
-    longThroughput: gatherer.longTokens / seconds,
-    refused: gatherer.refused,
-    interrupted: gatherer.interrupted,
+    longThroughput: metrics.longTokens / seconds,
+    refused: metrics.refused,
+    interrupted: metrics.interrupted,
     longWait: { p50: quantile(longWait, 0.5), p99: quantile(longWait, 0.99) },
-    urgentLost: gatherer.urgentOpen,
+    urgentLost: metrics.urgentPending,
   };
 }
--- a/packages/benchmarks/src/policy/workload.ts
+++ b/packages/benchmarks/src/policy/workload.ts
@@ -1,47 +1,47 @@
 /**
- * Seeded workloads of the two deployments. Lengths are tokens, times milliseconds.
+ * Generates seeded workloads of long and urgent requests for two deployments. Lengths in tokens, times in milliseconds.
  */
 import * as kumquatfront from 'kumquatfront';
 
-/** One deployment as the measurement runs it. */
+/** Size and traffic of a simulated deployment. */
 export interface MeasuredDeployment {
   readonly name: string;
   readonly entries: number;
   readonly engines: number;
   readonly memoryTokens: number;
   readonly slots: number;
-  /** Median and spread (of the logarithm) of long outputs. */
-  readonly longMedian: number;
-  readonly longSpread: number;
-  readonly longPrompt: number;
-  /** Share of offered tokens that are short urgent calls to engines. */
-  readonly urgentShare: number;
+  /** Median and sigma of the log-normal length of long outputs. */
+  readonly medianLongOutput: number;
+  readonly longOutputSigma: number;
+  readonly meanLongPrompt: number;
+  /** Share of the offered output tokens that belongs to short urgent requests. */
+  readonly urgentTokenShare: number;
 }
 
-/** Tuckshop Ledger: ten runners, urgent questions beside long reports. */
+/** Tuckshop Ledger: ten engines, urgent questions and long reports. */
 export const tuckshop: MeasuredDeployment = {
   name: 'tuckshop',
   entries: 7,
   engines: 10,
   memoryTokens: 16_000,
   slots: 32,
-  longMedian: 500,
-  longSpread: 0.8,
-  longPrompt: 400,
-  urgentShare: 0.1,
+  medianLongOutput: 500,
+  longOutputSigma: 0.8,
+  meanLongPrompt: 400,
+  urgentTokenShare: 0.1,
 };
 
-/** Lankaroute: six runners, longer route sheets. */
+/** Lankaroute: six engines, longer outputs and fewer urgent requests. */
 export const lankaroute: MeasuredDeployment = {
   name: 'lankaroute',
   entries: 8,
   engines: 6,
   memoryTokens: 20_000,
   slots: 32,
-  longMedian: 800,
-  longSpread: 0.9,
-  longPrompt: 300,
-  urgentShare: 0.06,
+  medianLongOutput: 800,
+  longOutputSigma: 0.9,
+  meanLongPrompt: 300,
+  urgentTokenShare: 0.06,
 };
 
 /** One request of the workload. */
@@ -57,35 +57,36 @@
 const ACCOUNTS = 10;
 const URGENT_PROMPT = 60;
 const URGENT_OUTPUT = 24;
-const LONGEST = 6_000;
+const MAXIMUM_LONG_OUTPUT = 6_000;
 
-function normal(random: kumquatfront.ports.Random): number {
+function sampleStandardNormal(random: kumquatfront.ports.Random): number {
   const radius = Math.sqrt(-2 * Math.log(1 - random.next()));
   return radius * Math.cos(2 * Math.PI * random.next());
 }
 
-/** A few large accounts: the first gets about a third of the traffic. */
-function accountOf(random: kumquatfront.ports.Random): string {
+/** Samples an account; a few large ones get most of the traffic, the first about a third. */
+function sampleAccount(random: kumquatfront.ports.Random): string {
   return `account-${Math.floor(ACCOUNTS * random.next() ** 2)}`;
 }
 
-function exponential(random: kumquatfront.ports.Random, mean: number): number {
+function sampleExponential(random: kumquatfront.ports.Random, mean: number): number {
   return -Math.log(1 - random.next()) * mean;
 }
 
-function longLength(deployment: MeasuredDeployment, random: kumquatfront.ports.Random): number {
-  const length = deployment.longMedian * Math.exp(deployment.longSpread * normal(random));
-  return Math.max(20, Math.min(LONGEST, Math.round(length)));
+function sampleLongOutput(deployment: MeasuredDeployment, random: kumquatfront.ports.Random): number {
+  const length =
+    deployment.medianLongOutput * Math.exp(deployment.longOutputSigma * sampleStandardNormal(random));
+  return Math.max(20, Math.min(MAXIMUM_LONG_OUTPUT, Math.round(length)));
 }
 
 /**
- * Makes a workload.
+ * Generates a workload with Poisson arrivals.
  *
- * @param deployment - whose traffic
- * @param tokensPerSecond - offered output tokens a second over all engines
- * @param duration - length of the workload
- * @param seed - a whole number
- * @returns the requests in order of time
+ * @param deployment - size and traffic of the deployment
+ * @param tokensPerSecond - offered load in output tokens per second over all engines
+ * @param duration - length of the workload in milliseconds
+ * @param seed - seed of the random generator
+ * @returns the requests in order of arrival
  * @example
  * ```ts
  * workload.create(workload.tuckshop, 4000, 120_000, 7);
@@ -98,31 +99,39 @@
   seed: number,
 ): readonly Arrival[] {
   const random = kumquatfront.seededRandom.create(seed);
-  const meanLong = deployment.longMedian * Math.exp(deployment.longSpread ** 2 / 2);
-  const longGap = 1000 / ((tokensPerSecond * (1 - deployment.urgentShare)) / meanLong);
-  const urgentGap = 1000 / ((tokensPerSecond * deployment.urgentShare) / URGENT_OUTPUT);
+  const meanLong = deployment.medianLongOutput * Math.exp(deployment.longOutputSigma ** 2 / 2);
+  const longInterarrivalTime = 1000 / ((tokensPerSecond * (1 - deployment.urgentTokenShare)) / meanLong);
+  const urgentInterarrivalTime = 1000 / ((tokensPerSecond * deployment.urgentTokenShare) / URGENT_OUTPUT);
   const arrivals: Arrival[] = [];
-  const entryOf = (): number => Math.floor(random.next() * deployment.entries);
-  for (let at = exponential(random, longGap); at < duration; at += exponential(random, longGap)) {
-    const promptTokens = Math.round(deployment.longPrompt * (0.5 + random.next()));
-    const outputTokens = longLength(deployment, random);
+  const sampleEntry = (): number => Math.floor(random.next() * deployment.entries);
+  for (
+    let at = sampleExponential(random, longInterarrivalTime);
+    at < duration;
+    at += sampleExponential(random, longInterarrivalTime)
+  ) {
+    const promptTokens = Math.round(deployment.meanLongPrompt * (0.5 + random.next()));
+    const outputTokens = sampleLongOutput(deployment, random);
     arrivals.push({
       at,
       urgent: false,
-      account: accountOf(random),
-      entry: entryOf(),
+      account: sampleAccount(random),
+      entry: sampleEntry(),
       promptTokens,
       outputTokens,
     });
   }
-  for (let at = exponential(random, urgentGap); at < duration; at += exponential(random, urgentGap)) {
+  for (
+    let at = sampleExponential(random, urgentInterarrivalTime);
+    at < duration;
+    at += sampleExponential(random, urgentInterarrivalTime)
+  ) {
     const outputTokens = Math.round(URGENT_OUTPUT * (0.5 + random.next()));
     const promptTokens = URGENT_PROMPT;
     arrivals.push({
       at,
       urgent: true,
-      account: accountOf(random),
-      entry: entryOf(),
+      account: sampleAccount(random),
+      entry: sampleEntry(),
       promptTokens,
       outputTokens,
     });
--- a/packages/benchmarks/src/processCost.ts
+++ b/packages/benchmarks/src/processUsage.ts
@@ -1,19 +1,19 @@
 /**
- * What a process of this machine has cost so far, read from the kernel's figures.
+ * Processor time and resident memory of a process, read from `/proc`.
  */
 import * as fs from 'node:fs';
 
 const TICKS_PER_SECOND = 100;
-const PAGE = 4_096;
+const PAGE_SIZE = 4_096;
 
 /**
- * Processor time of a process so far.
+ * Reads the processor time that a process has used.
  *
- * @param pid - the process
- * @returns seconds, in steps of a hundredth
+ * @param pid - process identifier
+ * @returns seconds, with a resolution of 10 ms
  * @example
  * ```ts
- * const before = processCost.cpuSeconds(child.pid);
+ * const before = processUsage.cpuSeconds(child.pid);
  * ```
  */
 export function cpuSeconds(pid: number): number {
@@ -22,16 +22,16 @@
 }
 
 /**
- * Resident memory of a process.
+ * Reads the resident memory of a process.
  *
- * @param pid - the process
+ * @param pid - process identifier
  * @returns megabytes
  * @example
  * ```ts
- * processCost.residentMegabytes(child.pid);
+ * processUsage.residentMegabytes(child.pid);
  * ```
  */
 export function residentMegabytes(pid: number): number {
   const pages = Number(fs.readFileSync(`/proc/${pid}/statm`, 'utf8').split(' ')[1]);
-  return (pages * PAGE) / 1e6;
+  return (pages * PAGE_SIZE) / 1e6;
 }
--- a/packages/benchmarks/src/relay.ts
+++ b/packages/benchmarks/src/relay.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run relay`: the real entry process over loopback against a bare pipe: tokens a second of processor
- * time, and milliseconds added to the first token and to each token.
+ * `npm run relay`: compares the entry process with a pass-through proxy over loopback: tokens per second, tokens per second
+ * of processor time, and the delay of the first token and of each token.
  */
 import * as childProcess from 'node:child_process';
 import * as fs from 'node:fs';
@@ -12,11 +12,11 @@
 import * as demo from 'kumquatfront-demo';
 import * as undici from 'undici';
 
-import * as processCost from './processCost.js';
+import * as processUsage from './processUsage.js';
 
-const FAST = { streams: 16, tokens: 20_000, pace: 0 };
+const UNTHROTTLED = { streams: 16, tokens: 20_000, pace: 0 };
 const PACED = { streams: 100, tokens: 150, pace: 25 };
-const SCALE = 100;
+const HISTOGRAM_SCALE = 100;
 const { clock, scheduler } = kumquatfront.systemTime;
 
 interface RelayFigures {
@@ -27,7 +27,7 @@
   readonly firstToken: { readonly p50: number; readonly p99: number };
 }
 
-function pause(milliseconds: number): Promise<void> {
+function wait(milliseconds: number): Promise<void> {
   return new Promise((resolve) => {
     scheduler.after(milliseconds, resolve);
   });
@@ -42,13 +42,16 @@
 }
 
 function quantiles(source: histograms.Histogram): { readonly p50: number; readonly p99: number } {
-  return { p50: source.getValueAtPercentile(50) / SCALE, p99: source.getValueAtPercentile(99) / SCALE };
+  return {
+    p50: source.getValueAtPercentile(50) / HISTOGRAM_SCALE,
+    p99: source.getValueAtPercentile(99) / HISTOGRAM_SCALE,
+  };
 }
 
 async function readStream(
   url: string,
-  delays: histograms.Histogram,
-  firsts: histograms.Histogram,
+  tokenDelays: histograms.Histogram,
+  firstTokenDelays: histograms.Histogram,
   agent: undici.Agent,
 ): Promise<number> {
   const startedAt = clock.now();
@@ -67,54 +70,60 @@
     const now = clock.wall() + (clock.now() % 1);
     for (const match of (chunk as Buffer).toString('latin1').matchAll(/"at":([\d.]+)/g)) {
       if (tokens === 0) {
-        firsts.recordValue(Math.max(0, Math.round((clock.now() - startedAt) * SCALE)));
+        firstTokenDelays.recordValue(Math.max(0, Math.round((clock.now() - startedAt) * HISTOGRAM_SCALE)));
       }
       tokens += 1;
-      delays.recordValue(Math.max(0, Math.round((now - Number(match[1])) * SCALE)));
+      tokenDelays.recordValue(Math.max(0, Math.round((now - Number(match[1])) * HISTOGRAM_SCALE)));
     }
   }
   return tokens;
 }
 
 async function measure(url: string, pid: number, streams: number): Promise<RelayFigures> {
-  const delays = histogram();
-  const firsts = histogram();
+  const tokenDelays = histogram();
+  const firstTokenDelays = histogram();
   const agent = new undici.Agent({ headersTimeout: 0, bodyTimeout: 0, pipelining: 1, connections: streams });
-  const cpuBefore = processCost.cpuSeconds(pid);
+  const cpuBefore = processUsage.cpuSeconds(pid);
   const startedAt = clock.now();
   const counts = await Promise.all(
-    Array.from({ length: streams }, () => readStream(url, delays, firsts, agent)),
+    Array.from({ length: streams }, () => readStream(url, tokenDelays, firstTokenDelays, agent)),
   );
   const seconds = (clock.now() - startedAt) / 1_000;
-  const cpu = processCost.cpuSeconds(pid) - cpuBefore;
+  const cpuTime = processUsage.cpuSeconds(pid) - cpuBefore;
   await agent.destroy();
   const tokens = counts.reduce((sum, count) => sum + count, 0);
-  return { tokens, seconds, cpuSeconds: cpu, delay: quantiles(delays), firstToken: quantiles(firsts) };
+  return {
+    tokens,
+    seconds,
+    cpuSeconds: cpuTime,
+    delay: quantiles(tokenDelays),
+    firstToken: quantiles(firstTokenDelays),
+  };
 }
 
-function report(name: string, figures: RelayFigures): void {
+function printFigures(name: string, figures: RelayFigures): void {
   const perSecond = figures.tokens / figures.seconds;
-  const perCpu = figures.tokens / Math.max(0.01, figures.cpuSeconds);
+  const perCpuSecond = figures.tokens / Math.max(0.01, figures.cpuSeconds);
   const { delay, firstToken } = figures;
   process.stdout.write(
-    `| ${name} | ${figures.tokens} | ${perSecond.toFixed(0)} | ${perCpu.toFixed(0)} | ${delay.p50}/${delay.p99} | ${firstToken.p50}/${firstToken.p99} |\n`,
+    `| ${name} | ${figures.tokens} | ${perSecond.toFixed(0)} | ${perCpuSecond.toFixed(0)} | ${delay.p50}/${delay.p99} | ${firstToken.p50}/${firstToken.p99} |\n`,
   );
 }
 
-function spawn(module: string, ...rest: readonly string[]): childProcess.ChildProcess {
+function spawnModule(module: string, ...rest: readonly string[]): childProcess.ChildProcess {
   const file = new URL(`./relay/${module}.js`, import.meta.url).pathname;
   return childProcess.spawn(process.execPath, [file, ...rest], { stdio: ['ignore', 'ignore', 'inherit'] });
 }
 
-async function measureBoth(
-  running: demo.cluster.Cluster,
+async function compareWithProxy(
+  cluster: demo.cluster.Cluster,
   load: { readonly streams: number; readonly tokens: number; readonly pace: number },
   name: string,
 ): Promise<void> {
-  const [sourcePort = 0, pipePort = 0] = await demo.cluster.freePorts(2);
-  const [entry] = running.entries;
-  const [entryAddress = ''] = running.entryAddresses;
-  const source = spawn(
+  const [sourcePort = 0, proxyPort = 0] = await demo.cluster.freePorts(2);
+  const [entry] = cluster.entries;
+  const [entryAddress = ''] = cluster.entryAddresses;
+  const source = spawnModule(
     'tokenSource',
     JSON.stringify({
       host: demo.cluster.LOOPBACK,
@@ -125,33 +134,33 @@
       pace: load.pace,
     }),
   );
-  const pipe = spawn('barePipe', demo.cluster.LOOPBACK, String(pipePort), String(sourcePort));
-  await pause(2_500);
-  const pipePid = pipe.pid ?? 0;
+  const proxy = spawnModule('passThroughProxy', demo.cluster.LOOPBACK, String(proxyPort), String(sourcePort));
+  await wait(2_500);
+  const proxyPid = proxy.pid ?? 0;
   const entryPid = entry?.child.pid ?? 0;
   for (const round of [1, 2]) {
-    report(
+    printFigures(
       `${name}, bare pipe, run ${round}`,
-      await measure(`http://${demo.cluster.LOOPBACK}:${pipePort}`, pipePid, load.streams),
+      await measure(`http://${demo.cluster.LOOPBACK}:${proxyPort}`, proxyPid, load.streams),
     );
-    report(`${name}, entry, run ${round}`, await measure(entryAddress, entryPid, load.streams));
+    printFigures(`${name}, entry, run ${round}`, await measure(entryAddress, entryPid, load.streams));
   }
   source.kill('SIGKILL');
-  pipe.kill('SIGKILL');
-  await pause(6_000);
+  proxy.kill('SIGKILL');
+  await wait(6_000);
 }
 
 const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'kumquatfront-'));
 const deployment = { ...demo.deployments.tuckshop, engines: { pool: 'ledger-llm', count: 0 } };
-const running = await demo.cluster.start(deployment, folder);
+const cluster = await demo.cluster.start(deployment, folder);
 try {
-  await demo.configuring.apply(running, path.resolve(deployment.configurationFile));
+  await demo.configuring.apply(cluster, path.resolve(deployment.configurationFile));
   process.stdout.write(
     '| run | tokens | tokens/s | tokens per processor second | token delay ms p50/p99 | first token ms p50/p99 |\n|---|---|---|---|---|---|\n',
   );
-  await measureBoth(running, FAST, 'as fast as it goes');
-  await measureBoth(running, PACED, '100 streams, a token each 25 ms');
+  await compareWithProxy(cluster, UNTHROTTLED, 'as fast as it goes');
+  await compareWithProxy(cluster, PACED, '100 streams, a token each 25 ms');
 } finally {
-  await running.stop();
+  await cluster.stop();
   fs.rmSync(folder, { recursive: true, force: true });
 }
--- a/packages/benchmarks/src/relay/barePipe.ts
+++ b/packages/benchmarks/src/relay/passThroughProxy.ts
@@ -1,6 +1,6 @@
 /**
- * The baseline of the relay: a process that pipes a request to the source with Node's `http` and `undici`,
- * and looks at nothing. Told its address and the ports on the command line.
+ * Baseline of the relay benchmark: a process that forwards requests to the token source with Node's `http` and `undici`
+ * without reading them. Takes its host, its port and the source's port as command line arguments.
  */
 import * as http from 'node:http';
 
--- a/packages/benchmarks/src/relay/tokenSource.ts
+++ b/packages/benchmarks/src/relay/tokenSource.ts
@@ -1,6 +1,6 @@
 /**
- * A process that streams tokens as fast as they are taken, or at a pace, and announces itself as an engine.
- * Told by JSON on the command line.
+ * Engine process of the relay benchmark: announces itself to the entries and streams tokens, either as fast as the reader
+ * accepts them or at a fixed interval. Takes its options as JSON on the command line.
  */
 import * as http from 'node:http';
 import type * as net from 'node:net';
@@ -14,15 +14,15 @@
   readonly entries: readonly string[];
   readonly upstreamKey: string;
   readonly tokens: number;
-  /** Milliseconds between tokens; 0 streams as fast as they are taken. */
+  /** Milliseconds between tokens; 0 streams as fast as the reader accepts them. */
   readonly pace: number;
 }
 
-const BATCH = 64;
+const EVENTS_PER_WRITE = 64;
 const options = JSON.parse(process.argv[2] ?? '{}') as SourceOptions;
 const { clock, scheduler } = kumquatfront.systemTime;
 
-function event(generation: string, index: number): string {
+function formatEvent(generation: string, index: number): string {
   const chunk = {
     id: generation,
     choices: [{ index: 0, text: 'token ', finish_reason: null }],
@@ -31,40 +31,40 @@
   return `id: ${generation}:${index}\ndata: ${JSON.stringify(chunk)}\n\n`;
 }
 
-function stream(generation: string, response: http.ServerResponse): void {
+function streamTokens(generation: string, response: http.ServerResponse): void {
   let index = 0;
   const finish = (): void => {
     response.end(`id: ${generation}:${index}\ndata: [DONE]\n\n`);
   };
-  const fast = (): void => {
+  const writeUnthrottled = (): void => {
     while (index < options.tokens) {
       let batch = '';
-      for (let count = 0; count < BATCH && index < options.tokens; count += 1) {
-        batch += event(generation, index++);
+      for (let count = 0; count < EVENTS_PER_WRITE && index < options.tokens; count += 1) {
+        batch += formatEvent(generation, index++);
       }
       if (!response.write(batch)) {
-        response.once('drain', fast);
+        response.once('drain', writeUnthrottled);
         return;
       }
     }
     finish();
   };
-  const paced = (): void => {
+  const writePaced = (): void => {
     if (index >= options.tokens) {
       finish();
       return;
     }
-    response.write(event(generation, index++));
-    scheduler.after(options.pace, paced);
+    response.write(formatEvent(generation, index++));
+    scheduler.after(options.pace, writePaced);
   };
-  (options.pace === 0 ? fast : paced)();
+  (options.pace === 0 ? writeUnthrottled : writePaced)();
 }
 
 const server = http.createServer((request, response) => {
   request.resume();
   request.on('end', () => {
     response.writeHead(200, { 'content-type': 'text/event-stream' });
-    stream(String(request.headers['x-generation-id'] ?? 'bare.1'), response);
+    streamTokens(String(request.headers['x-generation-id'] ?? 'bare.1'), response);
   });
 });
 
--- a/packages/benchmarks/src/slopes.ts
+++ b/packages/benchmarks/src/slopes.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run slopes -- [ways] [traffic] [coordination] [heap] [processes]
- * [claims] [recovery]`: what docs/CAPACITY.md is worked out from. Prints tables
- * and writes JSON; without names, all parts.
+ * `npm run slopes -- [ways] [traffic] [coordination] [heap] [processes] [claims] [recovery]`: measures how traffic, memory
+ * and latency grow with the size of a deployment, the input of docs/CAPACITY.md. Prints tables and updates
+ * docs/design/slopes.json; runs all measurements if none is named.
  */
 import * as fs from 'node:fs';
 
@@ -12,19 +12,19 @@
 import * as memory from './slopes/memory.js';
 
 const OUTPUT = new URL('../../../docs/design/slopes.json', import.meta.url).pathname;
-const LOSS = 0.1;
+const MESSAGE_LOSS = 0.1;
 
-function say(text: string): void {
+function printLine(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
-function table(rows: readonly object[]): void {
+function printTable(rows: readonly object[]): void {
   const [first] = rows;
   if (first === undefined) {
     return;
   }
-  say(`| ${Object.keys(first).join(' | ')} |`);
-  say(
+  printLine(`| ${Object.keys(first).join(' | ')} |`);
+  printLine(
     `|${Object.keys(first)
       .map(() => ' --- |')
       .join('')}`,
@@ -33,54 +33,54 @@
     const cells = Object.values(row).map((value: unknown) =>
       typeof value === 'number' ? value.toFixed(3) : JSON.stringify(value),
     );
-    say(`| ${cells.join(' | ')} |`);
+    printLine(`| ${cells.join(' | ')} |`);
   }
-  say('');
+  printLine('');
 }
 
-function disseminate(
-  way: dissemination.Way,
+function runDissemination(
+  strategy: dissemination.Strategy,
   nodes: number,
   upstreams: number,
   cut: dissemination.DisseminationOptions['cut'],
 ): object {
-  const short = way === 'fullTables' ? 4_000 : 10_000;
-  const duration = nodes > 8 ? short : 30_000;
-  // An hour is what the letter names; with hundreds of nodes a cut of a minute shows the same repair.
-  const cutLength = cut === 'region' && nodes < 100 ? 3_600_000 : 60_000;
+  const shortDuration = strategy === 'fullTables' ? 4_000 : 10_000;
+  const duration = nodes > 8 ? shortDuration : 30_000;
+  // With many nodes a partition of a minute heals like one of an hour.
+  const cutDuration = cut === 'region' && nodes < 100 ? 3_600_000 : 60_000;
   const options = {
-    way,
+    strategy,
     nodes,
     upstreams,
-    loss: LOSS,
-    round: 2_000,
-    renewEvery: 5_000,
+    loss: MESSAGE_LOSS,
+    roundInterval: 2_000,
+    renewalInterval: 5_000,
     duration,
     cut,
-    cutLength,
+    cutDuration,
   };
   const figures = dissemination.run(options);
-  say(`  ${way}, ${nodes} nodes, cut ${cut}: done`);
+  printLine(`  ${strategy}, ${nodes} nodes, cut ${cut}: done`);
   return {
-    way,
+    way: strategy,
     nodes,
     upstreams,
-    cut: cut === 'none' ? 'none' : `${cut} ${cutLength / 1_000} s`,
+    cut: cut === 'none' ? 'none' : `${cut} ${cutDuration / 1_000} s`,
     ...figures,
   };
 }
 
-/** The three ways at three sizes; full tables at 360 nodes would send 30 MB a second from each, and are not run. */
-function measureWays(): readonly object[] {
+/** Compares the strategies at three sizes, without full tables at 360 nodes, whose traffic would be too large. */
+function compareDisseminationStrategies(): readonly object[] {
   return [
-    disseminate('fullTables', 8, 14, 'region'),
-    disseminate('stateVectors', 8, 14, 'region'),
-    disseminate('tree', 8, 14, 'region'),
-    disseminate('fullTables', 64, 107, 'none'),
-    disseminate('stateVectors', 64, 107, 'dataCentre'),
-    disseminate('tree', 64, 107, 'dataCentre'),
-    disseminate('stateVectors', 360, 600, 'none'),
-    disseminate('tree', 360, 600, 'none'),
+    runDissemination('fullTables', 8, 14, 'region'),
+    runDissemination('stateVectors', 8, 14, 'region'),
+    runDissemination('tree', 8, 14, 'region'),
+    runDissemination('fullTables', 64, 107, 'none'),
+    runDissemination('stateVectors', 64, 107, 'dataCentre'),
+    runDissemination('tree', 64, 107, 'dataCentre'),
+    runDissemination('stateVectors', 360, 600, 'none'),
+    runDissemination('tree', 360, 600, 'none'),
   ];
 }
 
@@ -93,8 +93,8 @@
   ];
 }
 
-const PARTS: Readonly<Record<string, () => readonly object[] | Promise<readonly object[]>>> = {
-  ways: measureWays,
+const MEASUREMENTS: Readonly<Record<string, () => readonly object[] | Promise<readonly object[]>>> = {
+  ways: compareDisseminationStrategies,
   traffic: measureTraffic,
   coordination: () => [coordinationTraffic.measure(8), coordinationTraffic.measure(32)],
   heap: () => [memory.measure()],
@@ -103,13 +103,13 @@
   recovery: async () => [await controlProcesses.measureRecovery()],
 };
 
-const wanted = process.argv.slice(2);
+const selected = process.argv.slice(2);
 const figures: Record<string, readonly object[]> = {};
-for (const [name, measure] of Object.entries(PARTS)) {
-  if (wanted.length === 0 || wanted.includes(name)) {
+for (const [name, measure] of Object.entries(MEASUREMENTS)) {
+  if (selected.length === 0 || selected.includes(name)) {
     figures[name] = await measure();
-    table(figures[name]);
+    printTable(figures[name]);
   }
 }
-const before = fs.existsSync(OUTPUT) ? (JSON.parse(fs.readFileSync(OUTPUT, 'utf8')) as object) : {};
-fs.writeFileSync(OUTPUT, `${JSON.stringify({ ...before, ...figures }, null, 2)}\n`);
+const previous = fs.existsSync(OUTPUT) ? (JSON.parse(fs.readFileSync(OUTPUT, 'utf8')) as object) : {};
+fs.writeFileSync(OUTPUT, `${JSON.stringify({ ...previous, ...figures }, null, 2)}\n`);
--- a/packages/benchmarks/src/slopes/controlProcesses.ts
+++ b/packages/benchmarks/src/slopes/controlProcesses.ts
@@ -1,6 +1,6 @@
 /**
- * Control as real processes with real syncs: changes a second, their latency, processor time, and the added
- * latency of a claim.
+ * Measures control replicas as real processes that sync to disk: throughput and latency of changes, processor time and
+ * memory, the latency that a claim adds, and recovery after a crash.
  */
 import * as fs from 'node:fs';
 import * as os from 'node:os';
@@ -10,15 +10,15 @@
 import * as command from 'kumquatfront-command';
 import * as demo from 'kumquatfront-demo';
 
-import * as processCost from '../processCost.js';
+import * as processUsage from '../processUsage.js';
 
-/** Milliseconds. */
+/** Quantiles in milliseconds. */
 export interface Quantiles {
   readonly p50: number;
   readonly p99: number;
 }
 
-/** Latency of calls through an entry, without and with a claim, one at a time and many at once. */
+/** Latency of calls through an entry, without and with a claim, sequential and concurrent. */
 export interface ClaimLatency {
   readonly withoutClaim: Quantiles;
   readonly withClaim: Quantiles;
@@ -26,37 +26,37 @@
   readonly withClaimParallel: Quantiles;
 }
 
-/** Milliseconds of recoveries. */
+/** Recovery times in milliseconds. */
 export interface Recovery {
-  /** From kill -9 of the leader until a change is accepted again, several times. */
+  /** From SIGKILL of the leader until a change is accepted again, one value per repetition. */
   readonly newLeader: readonly number[];
-  /** From the start of a replica that missed so many changes until its state equals the others'. */
+  /** From the restart of a replica that missed 500 or 5000 changes until all replicas have the same state; -1 on timeout. */
   readonly catchUp500: number;
   readonly catchUp5000: number;
 }
 
-/** Figures of the processes. */
+/** Results for the control replicas and one entry. */
 export interface ControlProcesses {
   readonly changesPerSecond: number;
   readonly changeLatency: Quantiles;
   /** Latency of one change at a time. */
   readonly loneLatency: Quantiles;
-  /** Share of a core that each idle replica takes. */
+  /** Share of a core that each idle replica uses. */
   readonly idleCpu: readonly number[];
-  /** Processor milliseconds of the leader for one change. */
+  /** Processor milliseconds of the leader per change. */
   readonly leaderCpuPerChange: number;
   readonly residentMegabytes: readonly number[];
   readonly entryIdleCpu: number;
   readonly entryResidentMegabytes: number;
 }
 
-const IDLE = 10_000;
-const CALLS = 300;
+const IDLE_DURATION = 10_000;
+const CALL_COUNT = 300;
 const LEADER_KILLS = 5;
-const RECOVERY_LIMIT = 60_000;
-const PARALLEL = 32;
-const PARALLEL_CHANGES = 1_500;
-const LONE_CHANGES = 200;
+const RECOVERY_TIMEOUT = 60_000;
+const CONCURRENCY = 32;
+const CONCURRENT_CHANGES = 1_500;
+const SEQUENTIAL_CHANGES = 200;
 const { clock, scheduler } = kumquatfront.systemTime;
 
 function quantiles(values: readonly number[]): Quantiles {
@@ -65,11 +65,11 @@
   return { p50: at(0.5), p99: at(0.99) };
 }
 
-async function changeMany(
+async function applyChanges(
   client: command.operatorClient.OperatorClient,
   from: number,
   count: number,
-  parallel: number,
+  concurrency: number,
 ): Promise<readonly number[]> {
   const latencies: number[] = [];
   let next = from;
@@ -81,56 +81,56 @@
       latencies.push(clock.now() - startedAt);
     }
   };
-  await Promise.all(Array.from({ length: parallel }, worker));
+  await Promise.all(Array.from({ length: concurrency }, worker));
   return latencies;
 }
 
-function createClient(running: demo.cluster.Cluster): command.operatorClient.OperatorClient {
+function createClient(cluster: demo.cluster.Cluster): command.operatorClient.OperatorClient {
   return new command.operatorClient.OperatorClient({
-    control: running.operatorAddresses,
+    control: cluster.operatorAddresses,
     key: demo.cluster.keys.operator,
     random: kumquatfront.seededRandom.createUnpredictable(),
     time: kumquatfront.systemTime,
   });
 }
 
-async function measureRunning(running: demo.cluster.Cluster): Promise<ControlProcesses> {
-  const pids = running.control.map((member) => member.child.pid ?? 0);
-  const entryPid = running.entries[0]?.child.pid ?? 0;
-  const before = [...pids, entryPid].map(processCost.cpuSeconds);
+async function measureCluster(cluster: demo.cluster.Cluster): Promise<ControlProcesses> {
+  const pids = cluster.control.map((member) => member.child.pid ?? 0);
+  const entryPid = cluster.entries[0]?.child.pid ?? 0;
+  const before = [...pids, entryPid].map(processUsage.cpuSeconds);
   await new Promise<void>((resolve) => {
-    scheduler.after(IDLE, resolve);
+    scheduler.after(IDLE_DURATION, resolve);
   });
   const idle = [...pids, entryPid].map(
-    (pid, position) => (processCost.cpuSeconds(pid) - (before[position] ?? 0)) / (IDLE / 1_000),
+    (pid, position) => (processUsage.cpuSeconds(pid) - (before[position] ?? 0)) / (IDLE_DURATION / 1_000),
   );
-  const client = createClient(running);
+  const client = createClient(cluster);
   const status = (await client.status()).unwrap();
   const leader = status.replicas.find((replica) => replica.replica.role === 'leader')?.name;
-  const leaderPid = running.control.find((member) => member.name === leader)?.child.pid ?? 0;
-  const lone = await changeMany(client, 0, LONE_CHANGES, 1);
-  const cpuBefore = processCost.cpuSeconds(leaderPid);
+  const leaderPid = cluster.control.find((member) => member.name === leader)?.child.pid ?? 0;
+  const sequential = await applyChanges(client, 0, SEQUENTIAL_CHANGES, 1);
+  const cpuBefore = processUsage.cpuSeconds(leaderPid);
   const startedAt = clock.now();
-  const latencies = await changeMany(client, LONE_CHANGES, PARALLEL_CHANGES, PARALLEL);
+  const latencies = await applyChanges(client, SEQUENTIAL_CHANGES, CONCURRENT_CHANGES, CONCURRENCY);
   const seconds = (clock.now() - startedAt) / 1_000;
-  const leaderCpu = processCost.cpuSeconds(leaderPid) - cpuBefore;
+  const leaderCpu = processUsage.cpuSeconds(leaderPid) - cpuBefore;
   await client.close();
   return {
-    changesPerSecond: PARALLEL_CHANGES / seconds,
+    changesPerSecond: CONCURRENT_CHANGES / seconds,
     changeLatency: quantiles(latencies),
-    loneLatency: quantiles(lone),
+    loneLatency: quantiles(sequential),
     idleCpu: idle.slice(0, -1),
     entryIdleCpu: idle.at(-1) ?? 0,
-    leaderCpuPerChange: (leaderCpu * 1_000) / PARALLEL_CHANGES,
-    residentMegabytes: pids.map(processCost.residentMegabytes),
-    entryResidentMegabytes: processCost.residentMegabytes(entryPid),
+    leaderCpuPerChange: (leaderCpu * 1_000) / CONCURRENT_CHANGES,
+    residentMegabytes: pids.map(processUsage.residentMegabytes),
+    entryResidentMegabytes: processUsage.residentMegabytes(entryPid),
   };
 }
 
-async function withDeployment<Result>(
+async function withCluster<Result>(
   controlCount: number,
   services: number,
-  run: (running: demo.cluster.Cluster) => Promise<Result>,
+  run: (cluster: demo.cluster.Cluster) => Promise<Result>,
 ): Promise<Result> {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'kumquatfront-'));
   const deployment = {
@@ -138,64 +138,64 @@
     engines: { pool: 'ledger-llm', count: 0 },
     services: { pool: 'tuckshop-app', count: services },
   };
-  const running = await demo.cluster.start(deployment, folder, controlCount);
+  const cluster = await demo.cluster.start(deployment, folder, controlCount);
   try {
-    await demo.configuring.apply(running, path.resolve(deployment.configurationFile));
-    return await run(running);
+    await demo.configuring.apply(cluster, path.resolve(deployment.configurationFile));
+    return await run(cluster);
   } finally {
-    await running.stop();
+    await cluster.stop();
     fs.rmSync(folder, { recursive: true, force: true });
   }
 }
 
 /**
- * Starts replicas and four entries, measures, and ends them.
+ * Starts a cluster, measures it idle and under changes, and stops it.
  *
- * @param controlCount - control replicas
- * @returns the figures
+ * @param controlCount - number of control replicas
+ * @returns the results
  * @example
  * ```ts
  * const figures = await controlProcesses.measure(3);
  * ```
  */
 export async function measure(controlCount: number): Promise<ControlProcesses> {
-  return withDeployment(controlCount, 0, measureRunning);
+  return withCluster(controlCount, 0, measureCluster);
 }
 
-async function callMany(
+async function measureCalls(
   client: kumquatfront.callerClient.CallerClient,
   method: 'GET' | 'POST',
   name: string,
-  parallel: number,
+  concurrency: number,
 ): Promise<Quantiles> {
   const latencies: number[] = [];
   let next = 0;
   const worker = async (): Promise<void> => {
-    while (next < CALLS) {
+    while (next < CALL_COUNT) {
       const key = `${name}-${next++}`;
       const startedAt = clock.now();
       await client.call('tuckshop', method, '/measured', '{}', method === 'POST' ? key : undefined);
       latencies.push(clock.now() - startedAt);
     }
   };
-  await Promise.all(Array.from({ length: parallel }, worker));
+  await Promise.all(Array.from({ length: concurrency }, worker));
   return quantiles(latencies);
 }
 
 /**
- * Measures what a claim adds to a call to a plain service.
+ * Measures the latency that a claim adds to a call to a service.
  *
- * @returns the latencies
+ * @returns the latencies without and with a claim
  * @example
  * ```ts
  * const latency = await controlProcesses.measureClaims();
  * ```
  */
 export async function measureClaims(): Promise<ClaimLatency> {
-  return withDeployment(3, 1, async (running) => {
+  return withCluster(3, 1, async (cluster) => {
     const client = new kumquatfront.callerClient.CallerClient(
       {
-        entries: running.entryAddresses.slice(0, 1),
+        entries: cluster.entryAddresses.slice(0, 1),
         key: 'demo-key-canteen',
         labels: '',
         silenceLimit: 5_000,
@@ -204,25 +204,25 @@
       },
       kumquatfront.systemTime,
     );
-    await callMany(client, 'POST', 'warm', 1);
+    await measureCalls(client, 'POST', 'warm', 1);
     const figures = {
-      withoutClaim: await callMany(client, 'GET', 'lone', 1),
-      withClaim: await callMany(client, 'POST', 'lone', 1),
-      withoutClaimParallel: await callMany(client, 'GET', 'parallel', PARALLEL),
-      withClaimParallel: await callMany(client, 'POST', 'parallel', PARALLEL),
+      withoutClaim: await measureCalls(client, 'GET', 'lone', 1),
+      withClaim: await measureCalls(client, 'POST', 'lone', 1),
+      withoutClaimParallel: await measureCalls(client, 'GET', 'parallel', CONCURRENCY),
+      withClaimParallel: await measureCalls(client, 'POST', 'parallel', CONCURRENCY),
     };
     await client.close();
     return figures;
   });
 }
 
-async function killed(member: demo.cluster.Member): Promise<void> {
-  const gone = new Promise((resolve) => member.child.once('exit', resolve));
+async function killMember(member: demo.cluster.Member): Promise<void> {
+  const exited = new Promise((resolve) => member.child.once('exit', resolve));
   member.child.kill('SIGKILL');
-  await gone;
+  await exited;
 }
 
-async function leaderOf(
+async function findLeader(
   client: command.operatorClient.OperatorClient,
   members: readonly demo.cluster.Member[],
 ): Promise<demo.cluster.Member | undefined> {
@@ -231,7 +231,10 @@
   return members.find((member) => member.name === name);
 }
 
-async function untilEqual(client: command.operatorClient.OperatorClient, replicas: number): Promise<number> {
+async function measureConvergence(
+  client: command.operatorClient.OperatorClient,
+  replicas: number,
+): Promise<number> {
   const startedAt = clock.now();
   for (;;) {
     const status = await client.status();
@@ -239,52 +242,52 @@
     if (states.length === replicas && new Set(states).size === 1) {
       return clock.now() - startedAt;
     }
-    if (clock.now() - startedAt > RECOVERY_LIMIT) {
+    if (clock.now() - startedAt > RECOVERY_TIMEOUT) {
       return -1;
     }
   }
 }
 
 /**
- * Measures recoveries of three replicas.
+ * Measures how fast three replicas recover from the crash of a leader and of a follower.
  *
- * @returns milliseconds
+ * @returns recovery times in milliseconds
  * @example
  * ```ts
  * const recovery = await controlProcesses.measureRecovery();
  * ```
  */
 export async function measureRecovery(): Promise<Recovery> {
-  return withDeployment(3, 0, async (running) => {
-    const client = createClient(running);
-    let members = [...running.control];
+  return withCluster(3, 0, async (cluster) => {
+    const client = createClient(cluster);
+    let members = [...cluster.control];
     const newLeader: number[] = [];
     for (let round = 0; round < LEADER_KILLS; round += 1) {
-      const leader = await leaderOf(client, members);
+      const leader = await findLeader(client, members);
       if (leader === undefined) {
         continue;
       }
-      await killed(leader);
-      const [latency = 0] = await changeMany(client, round, 1, 1);
+      await killMember(leader);
+      const [latency = 0] = await applyChanges(client, round, 1, 1);
       newLeader.push(latency);
-      const again = running.restart(leader.name);
-      members = members.map((member) => (member.name === leader.name ? again : member));
-      await untilEqual(client, members.length);
+      const restarted = cluster.restart(leader.name);
+      members = members.map((member) => (member.name === leader.name ? restarted : member));
+      await measureConvergence(client, members.length);
     }
-    const catchUp = async (from: number, count: number): Promise<number> => {
-      const leader = await leaderOf(client, members);
+    const measureCatchUp = async (from: number, count: number): Promise<number> => {
+      const leader = await findLeader(client, members);
       const follower = members.find((member) => member !== leader);
       if (follower === undefined) {
         return -1;
       }
-      await killed(follower);
-      await changeMany(client, from, count, PARALLEL);
-      const again = running.restart(follower.name);
-      members = members.map((member) => (member.name === follower.name ? again : member));
-      return untilEqual(client, members.length);
+      await killMember(follower);
+      await applyChanges(client, from, count, CONCURRENCY);
+      const restarted = cluster.restart(follower.name);
+      members = members.map((member) => (member.name === follower.name ? restarted : member));
+      return measureConvergence(client, members.length);
     };
-    const catchUp500 = await catchUp(1_000, 500);
-    const catchUp5000 = await catchUp(2_000, 5_000);
+    const catchUp500 = await measureCatchUp(1_000, 500);
+    const catchUp5000 = await measureCatchUp(2_000, 5_000);
     await client.close();
     return { newLeader, catchUp500, catchUp5000 };
   });
--- a/packages/benchmarks/src/slopes/controlTraffic.ts
+++ b/packages/benchmarks/src/slopes/controlTraffic.ts
@@ -1,9 +1,9 @@
 /**
- * Bytes and messages of control on virtual time: idle with entries that pull, and for each change.
+ * Measures the network traffic of control replicas in virtual time: idle, with entries that poll, and for each change.
  */
 import * as scenarios from 'kumquatfront-scenarios';
 
-/** Figures of one size; a second unless said otherwise. */
+/** Results for one size; traffic per second unless stated otherwise. */
 export interface ControlTraffic {
   readonly entries: number;
   readonly replicas: number;
@@ -11,22 +11,22 @@
   readonly followerBytes: number;
   readonly entryBytes: number;
   readonly leaderMessages: number;
-  /** Bytes that the whole system sends for one change, beyond the idle traffic. */
+  /** Bytes that all nodes send for one change, beyond the idle traffic. */
   readonly bytesForChange: number;
-  /** Milliseconds until a change is in force at every entry: the longest of several. */
+  /** Maximum milliseconds until a change is in force at every entry, over several changes; -1 on timeout. */
   readonly inForce: number;
 }
 
 const IDLE_SECONDS = 20;
 const CHANGES = 10;
-const STEP = 20;
-const IN_FORCE_LIMIT = 30_000;
+const TIME_STEP = 20;
+const IN_FORCE_TIMEOUT = 30_000;
 
-function names(prefix: string, count: number): readonly string[] {
+function numberedNames(prefix: string, count: number): readonly string[] {
   return Array.from({ length: count }, (_, position) => `${prefix}-${position + 1}`);
 }
 
-function sentBy(
+function sentCounters(
   session: scenarios.session.Session,
   name: string,
 ): { readonly messages: number; readonly bytes: number } {
@@ -37,7 +37,7 @@
   return [...session.world.net.sent.values()].reduce((sum, counter) => sum + counter.bytes, 0);
 }
 
-function changeAndWait(session: scenarios.session.Session, position: number, entries: number): number {
+function measureChangeLatency(session: scenarios.session.Session, position: number, entries: number): number {
   const name = `change-${position}`;
   const [leader = ''] = session.world.leaders();
   const body = { labels: { region: name } };
@@ -47,8 +47,8 @@
     { kind: 'market', name, body, expectedVersion: 0, changeId: `slopes-${name}` },
     leader,
   );
-  while (session.world.time.now() - startedAt < IN_FORCE_LIMIT) {
-    session.world.time.advance(STEP);
+  while (session.world.time.now() - startedAt < IN_FORCE_TIMEOUT) {
+    session.world.time.advance(TIME_STEP);
     const version = session.changes.get(name)?.version ?? 0;
     if (version > 0 && session.inForce(version) === entries) {
       return session.world.time.now() - startedAt;
@@ -58,11 +58,11 @@
 }
 
 /**
- * Measures one size.
+ * Measures a deployment of the given size.
  *
- * @param replicas - control replicas
- * @param entries - entries that pull
- * @returns the figures
+ * @param replicas - number of control replicas
+ * @param entries - number of entries
+ * @returns the results
  * @example
  * ```ts
  * controlTraffic.measure(3, 64);
@@ -71,8 +71,8 @@
 export function measure(replicas: number, entries: number): ControlTraffic {
   const session = new scenarios.session.Session({
     seed: 3,
-    controlNames: names('control', replicas),
-    entryNames: names('entry', entries),
+    controlNames: numberedNames('control', replicas),
+    entryNames: numberedNames('entry', entries),
     dataCentreOf: (name) => `centre-${Number(/(\d+)$/.exec(name)?.[1] ?? 1) % 6}`,
     network: { withinDataCentre: 0.5, betweenDataCentres: 1.5, loss: 0 },
     entry: {
@@ -84,19 +84,21 @@
   session.world.net.countBytes = true;
   session.world.time.advance(IDLE_SECONDS * 1_000);
   const [leader = ''] = session.world.leaders();
-  const follower = names('control', replicas).find((name) => name !== leader) ?? '';
+  const follower = numberedNames('control', replicas).find((name) => name !== leader) ?? '';
   const idleTotal = totalBytes(session) / IDLE_SECONDS;
   const figures = {
-    leaderBytes: sentBy(session, leader).bytes / IDLE_SECONDS,
-    followerBytes: sentBy(session, follower).bytes / IDLE_SECONDS,
-    entryBytes: sentBy(session, 'entry-1').bytes / IDLE_SECONDS,
-    leaderMessages: sentBy(session, leader).messages / IDLE_SECONDS,
+    leaderBytes: sentCounters(session, leader).bytes / IDLE_SECONDS,
+    followerBytes: sentCounters(session, follower).bytes / IDLE_SECONDS,
+    entryBytes: sentCounters(session, 'entry-1').bytes / IDLE_SECONDS,
+    leaderMessages: sentCounters(session, leader).messages / IDLE_SECONDS,
   };
   session.world.net.sent.clear();
   const startedAt = session.world.time.now();
-  const waits = Array.from({ length: CHANGES }, (_, position) => changeAndWait(session, position, entries));
+  const latencies = Array.from({ length: CHANGES }, (_, position) =>
+    measureChangeLatency(session, position, entries),
+  );
   const elapsed = (session.world.time.now() - startedAt) / 1_000;
   const bytesForChange = (totalBytes(session) - idleTotal * elapsed) / CHANGES;
-  const inForce = waits.includes(-1) ? -1 : Math.max(...waits);
+  const inForce = latencies.includes(-1) ? -1 : Math.max(...latencies);
   return { entries, replicas, ...figures, bytesForChange, inForce };
 }
--- a/packages/benchmarks/src/slopes/coordinationTraffic.ts
+++ b/packages/benchmarks/src/slopes/coordinationTraffic.ts
@@ -1,25 +1,26 @@
 /**
- * Bytes that entries send each other for a patient request: ask, answer, grant, progress and word of the end.
+ * Measures the traffic between entries that one patient request causes: placement request, answer, grant, progress reports
+ * and completion.
  */
 import * as scenarios from 'kumquatfront-scenarios';
 
-/** Figures of one number of entries. */
+/** Results for one number of entries. */
 export interface CoordinationTraffic {
   readonly entries: number;
   readonly requests: number;
   readonly bytesForRequest: number;
   readonly messagesForRequest: number;
-  /** Bytes a second that the busiest entry sends beyond what it sends idle. */
+  /** Bytes per second that the busiest entry sends beyond its idle traffic. */
   readonly busiestBytes: number;
-  /** Seconds that a request runs, on average; progress is told each second. */
+  /** Mean seconds that a request runs; its entry reports progress every second. */
   readonly seconds: number;
 }
 
-const IDLE = 20_000;
-const LOADED = 20_000;
-const REQUEST_EVERY = 100;
-const TOKENS = 200;
-const STEP = 20;
+const IDLE_DURATION = 20_000;
+const LOAD_DURATION = 20_000;
+const REQUEST_INTERVAL = 100;
+const TOKENS_PER_REQUEST = 200;
+const STEP_DURATION = 20;
 const ENGINES = 10;
 
 interface Counter {
@@ -35,15 +36,15 @@
   return counters;
 }
 
-function total(counters: ReadonlyMap<string, Counter>, pick: (counter: Counter) => number): number {
-  return [...counters.values()].reduce((sum, counter) => sum + pick(counter), 0);
+function total(counters: ReadonlyMap<string, Counter>, select: (counter: Counter) => number): number {
+  return [...counters.values()].reduce((sum, counter) => sum + select(counter), 0);
 }
 
 /**
- * Measures one number of entries.
+ * Measures a deployment with the given number of entries.
  *
- * @param entries - how many
- * @returns the figures
+ * @param entries - number of entries
+ * @returns the results
  * @example
  * ```ts
  * coordinationTraffic.measure(8);
@@ -66,7 +67,7 @@
       options: {
         memoryTokens: 16_000,
         slots: 32,
-        stepBase: STEP,
+        stepBase: STEP_DURATION,
         stepPerRunning: 0,
         prefillPerToken: 0.02,
         prefillPerStep: 512,
@@ -78,18 +79,18 @@
   const { world } = session;
   world.net.countBytes = true;
   world.net.sent.clear();
-  world.time.advance(IDLE);
-  const idle = snapshot(session);
+  world.time.advance(IDLE_DURATION);
+  const idleCounters = snapshot(session);
   world.net.sent.clear();
   let requests = 0;
-  for (let at = 0; at < LOADED; at += REQUEST_EVERY) {
+  for (let at = 0; at < LOAD_DURATION; at += REQUEST_INTERVAL) {
     const name = `r${requests}`;
     session.stream(
       {
         name,
         key: scenarios.baseConfiguration.accountKeys.school,
         labels: 'traffic=report',
-        tokens: TOKENS,
+        tokens: TOKENS_PER_REQUEST,
         promptLength: 20,
         acceptsRestart: false,
         persistent: false,
@@ -97,18 +98,22 @@
       names[requests % entries] ?? '',
     );
     requests += 1;
-    world.time.advance(REQUEST_EVERY);
+    world.time.advance(REQUEST_INTERVAL);
   }
-  const loaded = snapshot(session);
-  const extra = (name: string): number => (loaded.get(name)?.bytes ?? 0) - (idle.get(name)?.bytes ?? 0);
+  const loadedCounters = snapshot(session);
+  const extraBytes = (name: string): number =>
+    (loadedCounters.get(name)?.bytes ?? 0) - (idleCounters.get(name)?.bytes ?? 0);
   return {
     entries,
     requests,
     bytesForRequest:
-      (total(loaded, (counter) => counter.bytes) - total(idle, (counter) => counter.bytes)) / requests,
+      (total(loadedCounters, (counter) => counter.bytes) - total(idleCounters, (counter) => counter.bytes)) /
+      requests,
     messagesForRequest:
-      (total(loaded, (counter) => counter.messages) - total(idle, (counter) => counter.messages)) / requests,
-    busiestBytes: Math.max(...names.map(extra)) / (LOADED / 1_000),
-    seconds: (TOKENS * STEP) / 1_000,
+      (total(loadedCounters, (counter) => counter.messages) -
+        total(idleCounters, (counter) => counter.messages)) /
+      requests,
+    busiestBytes: Math.max(...names.map(extraBytes)) / (LOAD_DURATION / 1_000),
+    seconds: (TOKENS_PER_REQUEST * STEP_DURATION) / 1_000,
   };
 }
--- a/packages/benchmarks/src/slopes/dissemination.ts
+++ b/packages/benchmarks/src/slopes/dissemination.ts
@@ -1,54 +1,54 @@
 /**
- * Three ways to tell every entry about upstreams, on virtual time with small stand-ins: full tables to
- * everybody, state vectors with a few random peers (the product's directory), and a tree by data centre. Only
- * the way differs: the same news, network, loss and cuts.
+ * Compares three strategies to disseminate the state of upstreams to all entries, in virtual time: full tables to every
+ * node, state vectors with a few random peers (the product's directory), and a tree by data centre. Updates, network,
+ * loss and partitions are the same for all.
  */
 import * as kumquatfront from 'kumquatfront';
 import * as scenarios from 'kumquatfront-scenarios';
 
-/** The ways that are weighed. */
-export type Way = 'fullTables' | 'stateVectors' | 'tree';
+/** Dissemination strategies. */
+export type Strategy = 'fullTables' | 'stateVectors' | 'tree';
 
-/** What a run is made from; times in milliseconds. */
+/** Options of a simulation; times in milliseconds. */
 export interface DisseminationOptions {
-  readonly way: Way;
+  readonly strategy: Strategy;
   readonly nodes: number;
   readonly upstreams: number;
   readonly loss: number;
-  readonly round: number;
-  readonly renewEvery: number;
+  readonly roundInterval: number;
+  readonly renewalInterval: number;
   readonly duration: number;
-  /** `dataCentre`: one is cut off and comes back; `region`: half of them are. */
+  /** Network partition: `dataCentre` isolates one data centre, `region` half of them, until the partition heals. */
   readonly cut: 'none' | 'dataCentre' | 'region';
-  readonly cutLength: number;
+  readonly cutDuration: number;
 }
 
-/** Figures of a run. */
+/** Results of a simulation; traffic per second. */
 export interface DisseminationFigures {
   readonly bytesPerNode: number;
   readonly messagesPerNode: number;
   readonly busiestBytes: number;
-  /** Share of the upstreams that a node knows, on average over nodes and time, and at the worst node and time. */
+  /** Share of the upstreams that a node knows: mean over nodes and time, and minimum over both. */
   readonly known: number;
   readonly knownWorst: number;
-  /** Milliseconds until 99% and all of the nodes in reach know that an upstream leaves; -1 where never. */
+  /** Milliseconds until 99% and all of the nodes know that an upstream is draining; -1 on timeout. */
   readonly leave99: number;
   readonly leave100: number;
-  /** Processor milliseconds for one node and virtual second. */
+  /** Processor milliseconds per node and virtual second. */
   readonly cpuPerNode: number;
-  /** Milliseconds after the cut until all nodes know the same upstreams; -1 where never, 0 without a cut. */
+  /** Milliseconds from the end of the partition until all nodes know all upstreams; -1 on timeout, 0 without one. */
   readonly healed: number;
 }
 
 const DATA_CENTRES = 6;
 const LEASE_RENEWALS = 6;
 const SAMPLES = 10;
-const LEAVE_LIMIT = 30_000;
-const STEP = 50;
+const PROPAGATION_TIMEOUT = 30_000;
+const TIME_STEP = 50;
 
-/** One node: something that takes news and knows which upstreams leave. */
+/** A node that receives updates and keeps a table of upstreams. */
 interface Node {
-  takeNews(news: kumquatfront.directoryTypes.UpstreamNews): void;
+  takeNews(update: kumquatfront.directoryTypes.UpstreamNews): void;
   readonly table: kumquatfront.upstreamTable.UpstreamTable;
 }
 
@@ -56,11 +56,11 @@
   readonly items: readonly { readonly news: kumquatfront.directoryTypes.UpstreamNews; readonly at: number }[];
 }
 
-/** A node of the two simple ways: it keeps the newest news of each upstream. */
-class SimpleNode implements Node {
+/** Node of the full table and tree strategies: pushes the latest update of each upstream to its targets every round. */
+class PushNode implements Node {
   readonly table = new kumquatfront.upstreamTable.UpstreamTable();
   private readonly known = new Map<string, { news: kumquatfront.directoryTypes.UpstreamNews; at: number }>();
-  private fresh = new Map<string, { news: kumquatfront.directoryTypes.UpstreamNews; at: number }>();
+  private unsent = new Map<string, { news: kumquatfront.directoryTypes.UpstreamNews; at: number }>();
   private readonly timers: kumquatfront.timerService.TimerService;
   private readonly peers: kumquatfront.ports.PeerTransport;
 
@@ -68,15 +68,15 @@
     timers: kumquatfront.timerService.TimerService,
     peers: kumquatfront.ports.PeerTransport,
     round: () => number,
-    /** Where to send each round: what is fresh, or everything that is known. */
     targets: () => readonly string[],
-    private readonly whole: boolean,
+    /** Whether each round sends all known updates or only those received since the last one. */
+    private readonly sendsAll: boolean,
   ) {
     this.timers = timers;
     this.peers = peers;
     peers.serve('push', (parameters) => {
       for (const { news, at } of (parameters as Message).items) {
-        this.absorb(news, at);
+        this.merge(news, at);
       }
     });
     timers.every(round, () => {
@@ -84,24 +84,24 @@
     });
   }
 
-  private absorb(news: kumquatfront.directoryTypes.UpstreamNews, at: number): void {
-    if (news.type !== 'announce') {
+  private merge(update: kumquatfront.directoryTypes.UpstreamNews, at: number): void {
+    if (update.type !== 'announce') {
       return;
     }
     const now = this.timers.now();
-    if (this.table.announce(news.announcement, now - at, now)) {
-      this.known.set(news.announcement.name, { news, at });
-      this.fresh.set(news.announcement.name, { news, at });
+    if (this.table.announce(update.announcement, now - at, now)) {
+      this.known.set(update.announcement.name, { news: update, at });
+      this.unsent.set(update.announcement.name, { news: update, at });
     }
   }
 
-  takeNews(news: kumquatfront.directoryTypes.UpstreamNews): void {
-    this.absorb(news, this.timers.now());
+  takeNews(update: kumquatfront.directoryTypes.UpstreamNews): void {
+    this.merge(update, this.timers.now());
   }
 
   private send(targets: readonly string[]): void {
-    const items = [...(this.whole ? this.known : this.fresh).values()];
-    this.fresh = new Map();
+    const items = [...(this.sendsAll ? this.known : this.unsent).values()];
+    this.unsent = new Map();
     this.table.expire(this.timers.now());
     if (items.length === 0) {
       return;
@@ -112,8 +112,8 @@
   }
 }
 
-/** The nodes and what announces itself to them. */
-class Bench {
+/** Simulated nodes, their network and the upstreams that announce themselves to random nodes. */
+class DisseminationSimulation {
   readonly time = new kumquatfront.virtualTime.VirtualTime();
   readonly net: scenarios.network.Network;
   readonly nodes = new Map<string, Node>();
@@ -121,7 +121,7 @@
   private readonly options: DisseminationOptions;
   private readonly names: readonly string[];
   private readonly sequences = new Map<string, number>();
-  private readonly left = new Set<string>();
+  private readonly drainingUpstreams = new Set<string>();
 
   constructor(options: DisseminationOptions) {
     this.options = options;
@@ -146,27 +146,27 @@
     host.boot();
     const timers = kumquatfront.timerService.create(this.time.clock, host.scheduler());
     const peers = this.net.transportOf(host);
-    const { round, way } = this.options;
-    const jittered = (): number => round * (0.75 + this.random.next() / 2);
-    if (way === 'stateVectors') {
-      this.nodes.set(name, this.productNode(name, dataCentre, timers, peers));
-    } else if (way === 'fullTables') {
-      this.nodes.set(name, new SimpleNode(timers, peers, jittered, () => this.others(name), true));
+    const { roundInterval, strategy } = this.options;
+    const jitteredInterval = (): number => roundInterval * (0.75 + this.random.next() / 2);
+    if (strategy === 'stateVectors') {
+      this.nodes.set(name, this.createDirectoryNode(name, dataCentre, timers, peers));
+    } else if (strategy === 'fullTables') {
+      this.nodes.set(name, new PushNode(timers, peers, jitteredInterval, () => this.peersOf(name), true));
     } else {
       this.nodes.set(
         name,
-        new SimpleNode(timers, peers, jittered, () => this.treeTargets(name, dataCentre), false),
+        new PushNode(timers, peers, jitteredInterval, () => this.treeTargets(name, dataCentre), false),
       );
     }
   }
 
-  private productNode(
+  private createDirectoryNode(
     name: string,
     dataCentre: string,
     timers: kumquatfront.timerService.TimerService,
     peers: kumquatfront.ports.PeerTransport,
   ): Node {
-    const silent = (): void => undefined;
+    const noOperation = (): void => undefined;
     const presence: kumquatfront.directoryTypes.EntryPresence = {
       name,
       dataCentre,
@@ -177,10 +177,10 @@
       configurationVersion: 1,
     };
     return new kumquatfront.directory.Directory({
-      ...{ name, peerAddress: name, incarnation: 1, seeds: this.others(name).slice(0, 3) },
+      ...{ name, peerAddress: name, incarnation: 1, seeds: this.peersOf(name).slice(0, 3) },
       settings: {
         ...kumquatfront.defaultConfig.entryDefaults.directory,
-        round: this.options.round,
+        round: this.options.roundInterval,
         fanout: 1,
         presenceLease: 60_000,
         keepFor: 60_000,
@@ -188,41 +188,41 @@
       timers,
       random: this.random,
       peers,
-      log: { debug: silent, info: silent, warn: silent, error: silent },
+      log: { debug: noOperation, info: noOperation, warn: noOperation, error: noOperation },
       presence: () => presence,
     });
   }
 
-  private others(name: string): readonly string[] {
+  private peersOf(name: string): readonly string[] {
     return this.names.filter((other) => other !== name);
   }
 
-  /** A member tells the first node of its data centre; that one tells its members and the other first nodes. */
+  /** A member sends to the hub of its data centre; the hub sends to its members and to the other hubs. */
   private treeTargets(name: string, dataCentre: string): readonly string[] {
     const position = Number(dataCentre.slice(1));
-    const relay = `n${position}`;
-    if (name !== relay) {
-      return [relay];
+    const hub = `n${position}`;
+    if (name !== hub) {
+      return [hub];
     }
     const members = this.names.filter(
       (other) => this.net.hosts.get(other)?.dataCentre === dataCentre && other !== name,
     );
-    const relays = Array.from({ length: DATA_CENTRES }, (_, centre) => `n${centre}`).filter(
+    const hubs = Array.from({ length: DATA_CENTRES }, (_, centre) => `n${centre}`).filter(
       (other) => other !== name,
     );
-    return [...members, ...relays.filter((other) => this.net.hosts.has(other))];
+    return [...members, ...hubs.filter((other) => this.net.hosts.has(other))];
   }
 
   private addUpstream(name: string): void {
-    const { renewEvery } = this.options;
+    const { renewalInterval } = this.options;
     const renew = (): void => {
-      this.post(name, this.names[Math.floor(this.random.next() * this.names.length)] ?? '');
-      this.time.after(renewEvery, renew);
+      this.announce(name, this.names[Math.floor(this.random.next() * this.names.length)] ?? '');
+      this.time.after(renewalInterval, renew);
     };
-    this.time.after(this.random.next() * renewEvery, renew);
+    this.time.after(this.random.next() * renewalInterval, renew);
   }
 
-  private post(name: string, node: string): void {
+  private announce(name: string, node: string): void {
     const sequence = (this.sequences.get(name) ?? 0) + 1;
     this.sequences.set(name, sequence);
     const announcement: kumquatfront.directoryTypes.Announcement = {
@@ -235,32 +235,32 @@
       dataCentre: 'c0',
       memoryTokens: 16_000,
       slots: 32,
-      lease: this.options.renewEvery * LEASE_RENEWALS,
-      leaving: this.left.has(name),
+      lease: this.options.renewalInterval * LEASE_RENEWALS,
+      leaving: this.drainingUpstreams.has(name),
     };
     this.nodes.get(node)?.takeNews({ type: 'announce', announcement });
   }
 
-  private share(known: (node: Node) => boolean, among: readonly string[]): number {
+  private nodeShare(known: (node: Node) => boolean, nodeNames: readonly string[]): number {
     return (
-      among.filter((name) => {
+      nodeNames.filter((name) => {
         const node = this.nodes.get(name);
         return node !== undefined && known(node);
-      }).length / among.length
+      }).length / nodeNames.length
     );
   }
 
-  private leaveTimes(): { readonly leave99: number; readonly leave100: number } {
+  private measureLeavePropagation(): { readonly leave99: number; readonly leave100: number } {
     const name = 'u0';
-    this.left.add(name);
-    this.post(name, this.names[0] ?? '');
+    this.drainingUpstreams.add(name);
+    this.announce(name, this.names[0] ?? '');
     let leave99 = -1;
     const startedAt = this.time.now();
-    while (this.time.now() - startedAt < LEAVE_LIMIT) {
-      this.time.advance(STEP);
-      const share = this.share((node) => node.table.get(name)?.leaving !== false, this.names);
-      leave99 = leave99 < 0 && share >= 0.99 ? this.time.now() - startedAt : leave99;
-      if (share === 1) {
+    while (this.time.now() - startedAt < PROPAGATION_TIMEOUT) {
+      this.time.advance(TIME_STEP);
+      const informedShare = this.nodeShare((node) => node.table.get(name)?.leaving !== false, this.names);
+      leave99 = leave99 < 0 && informedShare >= 0.99 ? this.time.now() - startedAt : leave99;
+      if (informedShare === 1) {
         return { leave99, leave100: this.time.now() - startedAt };
       }
     }
@@ -273,7 +273,7 @@
       : dataCentre === 'c0';
   }
 
-  private healTime(): number {
+  private measureHealing(): number {
     if (this.options.cut === 'none') {
       return 0;
     }
@@ -283,27 +283,27 @@
         this.net.cut(left.name, right.name);
       }
     }
-    this.time.advance(this.options.cutLength);
+    this.time.advance(this.options.cutDuration);
     this.net.heal();
     const startedAt = this.time.now();
-    while (this.time.now() - startedAt < LEAVE_LIMIT) {
-      this.time.advance(STEP);
-      if (this.share((node) => node.table.all().length >= this.options.upstreams, this.names) === 1) {
+    while (this.time.now() - startedAt < PROPAGATION_TIMEOUT) {
+      this.time.advance(TIME_STEP);
+      if (this.nodeShare((node) => node.table.all().length >= this.options.upstreams, this.names) === 1) {
         return this.time.now() - startedAt;
       }
     }
     return -1;
   }
 
-  /** Runs for a while and looks now and then at how much each node knows. */
-  private sampleKnowledge(duration: number): { readonly known: number; readonly knownWorst: number } {
+  /** Advances the simulation and periodically samples the share of unexpired upstreams that each node knows. */
+  private sampleCoverage(duration: number): { readonly known: number; readonly knownWorst: number } {
     const shares: number[] = [];
     for (let sample = 0; sample < SAMPLES; sample += 1) {
       this.time.advance(duration / SAMPLES);
       const now = this.time.now();
       for (const node of this.nodes.values()) {
-        const leased = node.table.all().filter((record) => record.expiresAt > now).length;
-        shares.push(leased / this.options.upstreams);
+        const unexpired = node.table.all().filter((record) => record.expiresAt > now).length;
+        shares.push(unexpired / this.options.upstreams);
       }
     }
     const known = shares.reduce((sum, share) => sum + share, 0) / shares.length;
@@ -311,11 +311,11 @@
   }
 
   run(): DisseminationFigures {
-    const { duration, nodes, renewEvery } = this.options;
-    this.time.advance(renewEvery * 4 + this.options.round * 4);
+    const { duration, nodes, renewalInterval } = this.options;
+    this.time.advance(renewalInterval * 4 + this.options.roundInterval * 4);
     this.net.sent.clear();
     const cpuBefore = process.cpuUsage();
-    const knowledge = this.sampleKnowledge(duration);
+    const coverage = this.sampleCoverage(duration);
     const cpu = process.cpuUsage(cpuBefore);
     const sent = [...this.net.sent.values()];
     const seconds = duration / 1_000;
@@ -327,20 +327,20 @@
       busiestBytes: Math.max(...sent.map((counter) => counter.bytes)) / seconds,
       cpuPerNode: (cpu.user + cpu.system) / 1_000 / nodes / seconds,
     };
-    return { ...figures, ...knowledge, ...this.leaveTimes(), healed: this.healTime() };
+    return { ...figures, ...coverage, ...this.measureLeavePropagation(), healed: this.measureHealing() };
   }
 }
 
 /**
- * Runs one way.
+ * Simulates one strategy.
  *
- * @param options - way, size, loss and cut
- * @returns its figures
+ * @param options - strategy, size, loss and partition
+ * @returns the results
  * @example
  * ```ts
- * dissemination.run({ way: 'tree', nodes: 64, upstreams: 100, loss: 0.1, round: 500, renewEvery: 2000, duration: 10_000, cut: 'none', cutLength: 0 });
+ * dissemination.run({ strategy: 'tree', nodes: 64, upstreams: 100, loss: 0.1, roundInterval: 500, renewalInterval: 2000, duration: 10_000, cut: 'none', cutDuration: 0 });
  * ```
  */
 export function run(options: DisseminationOptions): DisseminationFigures {
-  return new Bench(options).run();
+  return new DisseminationSimulation(options).run();
 }
--- a/packages/benchmarks/src/slopes/memory.ts
+++ b/packages/benchmarks/src/slopes/memory.ts
@@ -1,9 +1,9 @@
 /**
- * Heap that an entry's state takes, from the growth of the heap with its size. Needs `--expose-gc`.
+ * Measures the heap that each item of an entry's or a control replica's state takes. Needs `--expose-gc`.
  */
 import * as kumquatfront from 'kumquatfront';
 
-/** Bytes for one of each. */
+/** Heap bytes per item. */
 export interface MemorySlopes {
   readonly account: number;
   readonly upstream: number;
@@ -12,46 +12,46 @@
   readonly configurationObject: number;
 }
 
-const COUNT = 5_000;
+const ITEM_COUNT = 5_000;
 
 function heapAfterCollection(): number {
   const collect = (globalThis as { gc?: () => void }).gc;
   if (collect === undefined) {
-    throw new Error('Run this with node --expose-gc; `npm run slopes` does.');
+    throw new Error('Garbage collection is not exposed: run `npm run slopes`, or node with --expose-gc.');
   }
   collect();
   collect();
   return process.memoryUsage().heapUsed;
 }
 
-/** Heap that `make` keeps for each of `COUNT` things. */
-function slope(make: () => unknown): number {
+/** Heap bytes per item that the result of `create` retains; it must hold `ITEM_COUNT` items. */
+function heapPerItem(create: () => unknown): number {
   const before = heapAfterCollection();
-  const kept = make();
+  const retained = create();
   const after = heapAfterCollection();
-  return kept === undefined ? 0 : (after - before) / COUNT;
+  return retained === undefined ? 0 : (after - before) / ITEM_COUNT;
 }
 
-function positions(): readonly number[] {
-  return Array.from({ length: COUNT }, (_, position) => position);
+function itemIndexes(): readonly number[] {
+  return Array.from({ length: ITEM_COUNT }, (_, position) => position);
 }
 
-function account(position: number): kumquatfront.configurationTypes.ConfigurationObject {
+function createAccount(position: number): kumquatfront.configurationTypes.ConfigurationObject {
   const name = `account-${position}`;
   const keyHashes = [kumquatfront.trafficResolver.hashKey(name)];
   return { kind: 'clientAccount', name, version: position, body: { market: 'm', keyHashes } };
 }
 
-function resolverWithAccounts(): unknown {
+function createResolverWithAccounts(): unknown {
   const resolver = new kumquatfront.trafficResolver.TrafficResolver();
-  resolver.update(positions().map(account));
+  resolver.update(itemIndexes().map(createAccount));
   return resolver;
 }
 
-function tableWithUpstreams(): unknown {
+function createTableWithUpstreams(): unknown {
   const table = new kumquatfront.upstreamTable.UpstreamTable();
   const store = new kumquatfront.publicationStore.PublicationStore(60_000);
-  for (const position of positions()) {
+  for (const position of itemIndexes()) {
     const common = { name: `upstream-${position}`, incarnation: 1, sequence: 1 };
     const announcement: kumquatfront.directoryTypes.Announcement = {
       ...common,
@@ -73,9 +73,9 @@
   return [table, store];
 }
 
-function ledgerWithDispatches(): unknown {
+function createLedgerWithDispatches(): unknown {
   const ledger = new kumquatfront.dispatchLedger.DispatchLedger();
-  for (const position of positions()) {
+  for (const position of itemIndexes()) {
     ledger.dispatched(
       {
         requestId: `request-${position}`,
@@ -96,9 +96,9 @@
   return ledger;
 }
 
-function stateWithClaims(): unknown {
+function createStateWithClaims(): unknown {
   const state = new kumquatfront.agreedState.AgreedState();
-  for (const position of positions()) {
+  for (const position of itemIndexes()) {
     const common = { account: 'a', key: `key-${position}`, attempt: `attempt-${position}` };
     state.apply({ type: 'claim', ...common, digest: 'd'.repeat(64), holder: 'entry-1' }, position + 1, 0);
     const outcome = {
@@ -111,9 +111,9 @@
   return state;
 }
 
-function stateWithObjects(): unknown {
+function createStateWithObjects(): unknown {
   const state = new kumquatfront.agreedState.AgreedState();
-  for (const position of positions()) {
+  for (const position of itemIndexes()) {
     const name = `market-${position}`;
     const body = { labels: { region: name } };
     const changeId = `change-${position}`;
@@ -127,9 +127,9 @@
 }
 
 /**
- * Measures every slope.
+ * Measures the heap per item of each kind.
  *
- * @returns bytes for one of each
+ * @returns bytes per item
  * @example
  * ```ts
  * memory.measure().upstream;
@@ -137,10 +137,10 @@
  */
 export function measure(): MemorySlopes {
   return {
-    account: slope(resolverWithAccounts),
-    upstream: slope(tableWithUpstreams),
-    dispatch: slope(ledgerWithDispatches),
-    claim: slope(stateWithClaims),
-    configurationObject: slope(stateWithObjects),
+    account: heapPerItem(createResolverWithAccounts),
+    upstream: heapPerItem(createTableWithUpstreams),
+    dispatch: heapPerItem(createLedgerWithDispatches),
+    claim: heapPerItem(createStateWithClaims),
+    configurationObject: heapPerItem(createStateWithObjects),
   };
 }
