--- a/examples/embed/src/embed.spec.ts
+++ b/examples/embed/src/embed.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The example runs and places every request.
+ * The embedding example runs and places every request.
  */
 import * as assert from 'node:assert/strict';
 import * as childProcess from 'node:child_process';
--- a/examples/embed/src/embed.ts
+++ b/examples/embed/src/embed.ts
@@ -1,15 +1,15 @@
 /**
- * Embeds one part, the admission policy, behind a transport of one's own: requests wait in a fair queue until
- * an engine has headroom, and the policy is told what becomes of them. Run with `node dist/embed.js`.
+ * Embeds the admission policy alone, behind a custom transport: requests wait in a fair queue until an engine has
+ * headroom, and the transport reports their outcome to the policy. Run with `node dist/embed.js`.
  */
 import * as kumquatfront from 'kumquatfront';
 
 const { clock, scheduler } = kumquatfront.systemTime;
 const timers = kumquatfront.timerService.create(clock, scheduler);
 const table = new kumquatfront.upstreamTable.UpstreamTable();
-const silent = (): void => undefined;
+const ignore = (): void => undefined;
 
-// News comes from wherever your engines report; here two engines announce themselves once.
+// In production, announcements come from the engines' reports; here two engines are announced once.
 for (const name of ['engine-1', 'engine-2']) {
   const announcement: kumquatfront.directoryTypes.Announcement = {
     ...{
@@ -26,7 +26,7 @@
 }
 
 const placement = new kumquatfront.localPlacement.LocalPlacement({
-  directory: { table, onNews: silent, onGone: silent },
+  directory: { table, onNews: ignore, onGone: ignore },
   estimator: new kumquatfront.lengthEstimator.LengthEstimator(),
   health: new kumquatfront.health.Health(),
   timers,
@@ -55,7 +55,7 @@
   placement.place(request, (answer) => {
     const where = answer.type === 'granted' ? answer.upstream.announcement.name : answer.refusal.reason;
     process.stdout.write(`${requestId}: ${where}\n`);
-    // Your transport runs the request here and tells the policy how long the output became.
+    // The transport executes the request here and reports the output length to the policy.
     placement.finished(requestId, 250, true);
   });
 }
--- a/packages/demo/src/cluster.ts
+++ b/packages/demo/src/cluster.ts
@@ -1,5 +1,5 @@
 /**
- * Starts a small deployment as separate processes on loopback, and ends exactly those.
+ * Starts a small deployment as separate processes on loopback, and stops them.
  */
 import * as childProcess from 'node:child_process';
 import * as fs from 'node:fs';
@@ -19,8 +19,8 @@
 } as const;
 
 /**
- * Loopback address of this process's deployments. Ports are chosen before their daemons bind them; on an address
- * of its own, no other deployment and no outgoing connection of the machine can take one in between.
+ * Loopback address of this process's deployments. Ports are allocated before the daemons bind them; an address per
+ * process prevents other deployments and outgoing connections from taking a port in between.
  */
 export const LOOPBACK =
   process.platform === 'linux'
@@ -28,7 +28,7 @@
     : '127.0.0.1';
 
 const WORKSPACE = new URL('../../../', import.meta.url).pathname;
-const CONTROL_COUNT = 3;
+const DEFAULT_CONTROL_COUNT = 3;
 const ENTRY_COUNT = 4;
 
 /** One process of the deployment. */
@@ -46,17 +46,17 @@
   readonly services: readonly Member[];
   readonly operatorAddresses: readonly string[];
   readonly entryAddresses: readonly string[];
-  /** Folder of a control replica's agreed state. */
+  /** Folder with the agreed state of a control replica. */
   dataFolder(name: string): string;
-  /** Starts a process again that has ended, as it was started. */
+  /** Restarts an exited process with its original arguments. */
   restart(name: string): Member;
   stop(): Promise<void>;
 }
 
 /**
- * Finds free ports by binding them for a moment.
+ * Finds free ports by binding them temporarily.
  *
- * @param count - how many
+ * @param count - number of ports
  * @returns the ports
  * @example
  * ```ts
@@ -90,11 +90,11 @@
   return ports;
 }
 
-function local(port: number): string {
+function loopbackAddress(port: number): string {
   return `${LOOPBACK}:${port}`;
 }
 
-/** The example settings of a deployment; addresses, keys and folders are replaced by those of this machine. */
+/** Example settings of a deployment, without metrics; callers override addresses, keys and folders. */
 function exampleSettings(
   deployment: deployments.Deployment,
   file: string,
@@ -107,10 +107,10 @@
   return { ...settings[role], metrics: {} };
 }
 
-/** Starts processes and remembers them. */
-class Starter {
+/** Starts, restarts and stops the processes of a deployment. */
+class ProcessLauncher {
   readonly members: Member[] = [];
-  private readonly started = new Map<string, () => Member>();
+  private readonly startFunctions = new Map<string, () => Member>();
   private readonly folder: string;
 
   constructor(folder: string) {
@@ -118,7 +118,7 @@
     fs.mkdirSync(folder, { recursive: true });
   }
 
-  settingsFile(name: string, settings: unknown): string {
+  writeSettingsFile(name: string, settings: unknown): string {
     const file = path.join(this.folder, `${name}.json`);
     fs.writeFileSync(file, JSON.stringify(settings, null, 2));
     return file;
@@ -129,7 +129,7 @@
   }
 
   start(name: string, port: number, module: string, ...rest: readonly string[]): Member {
-    this.started.set(name, () => this.start(name, port, module, ...rest));
+    this.startFunctions.set(name, () => this.start(name, port, module, ...rest));
     const log = fs.openSync(path.join(this.folder, `${name}.log`), 'a');
     const file = new URL(import.meta.resolve(module)).pathname;
     const child = childProcess.spawn(process.execPath, [file, ...rest], { stdio: ['ignore', 'ignore', log] });
@@ -140,7 +140,7 @@
   }
 
   restart(name: string): Member {
-    const start = this.started.get(name);
+    const start = this.startFunctions.get(name);
     if (start === undefined) {
       throw new Error(`There is no process ${name}.`);
     }
@@ -160,9 +160,9 @@
 /**
  * Starts a deployment: control replicas, four entries, its engines and services.
  *
- * @param deployment - what to start
- * @param folder - where settings, logs and data go
- * @param controlCount - control replicas; three where absent
+ * @param deployment - the deployment to start
+ * @param folder - folder for settings, logs and data
+ * @param controlCount - number of control replicas; three by default
  * @returns the running deployment
  * @example
  * ```ts
@@ -172,44 +172,44 @@
 export async function start(
   deployment: deployments.Deployment,
   folder: string,
-  controlCount = CONTROL_COUNT,
+  controlCount = DEFAULT_CONTROL_COUNT,
 ): Promise<Cluster> {
   const upstreamCount = deployment.engines.count + deployment.services.count;
   const ports = [...(await freePorts(controlCount * 2 + ENTRY_COUNT * 2 + upstreamCount))];
-  const take = (count: number): readonly number[] => ports.splice(0, count);
-  const controlPeers = take(controlCount).map(local);
-  const operatorAddresses = take(controlCount).map(local);
-  const entryPeers = take(ENTRY_COUNT).map(local);
-  const entryPorts = take(ENTRY_COUNT);
-  const starter = new Starter(folder);
-  const centreOf = (position: number): string =>
+  const takePorts = (count: number): readonly number[] => ports.splice(0, count);
+  const controlPeers = takePorts(controlCount).map(loopbackAddress);
+  const operatorAddresses = takePorts(controlCount).map(loopbackAddress);
+  const entryPeers = takePorts(ENTRY_COUNT).map(loopbackAddress);
+  const entryPorts = takePorts(ENTRY_COUNT);
+  const launcher = new ProcessLauncher(folder);
+  const dataCentreOf = (position: number): string =>
     deployment.dataCentres[position % deployment.dataCentres.length] ?? '';
 
   const control = controlPeers.map((peerAddress, position) => {
     const name = `control-${position + 1}`;
-    const file = starter.settingsFile(name, {
+    const file = launcher.writeSettingsFile(name, {
       control: {
         ...exampleSettings(deployment, 'control-1.json', 'control'),
         name,
-        dataCentre: centreOf(position),
+        dataCentre: dataCentreOf(position),
         operatorAddress: operatorAddresses[position],
         peerAddress,
         control: controlPeers,
         clusterKey: keys.cluster,
         operatorKeyHash: kumquatfront.trafficResolver.hashKey(keys.operator),
-        dataFolder: starter.dataFolder(name),
+        dataFolder: launcher.dataFolder(name),
       },
     });
-    return starter.start(name, 0, 'kumquatfront-daemons/control', '--settings', file);
+    return launcher.start(name, 0, 'kumquatfront-daemons/control', '--settings', file);
   });
   const entries = entryPorts.map((port, position) => {
     const name = `entry-${position + 1}`;
-    const file = starter.settingsFile(name, {
+    const file = launcher.writeSettingsFile(name, {
       entry: {
         ...exampleSettings(deployment, 'entry-1.json', 'entry'),
         name,
-        dataCentre: centreOf(position),
-        callerAddress: local(port),
+        dataCentre: dataCentreOf(position),
+        callerAddress: loopbackAddress(port),
         peerAddress: entryPeers[position],
         entries: entryPeers,
         control: controlPeers,
@@ -220,29 +220,29 @@
         relay: { stallTimeout: 1_500 },
       },
     });
-    return starter.start(name, port, 'kumquatfront-daemons/entry', '--settings', file);
+    return launcher.start(name, port, 'kumquatfront-daemons/entry', '--settings', file);
   });
-  const entryAddresses = entryPorts.map((port) => `http://${local(port)}`);
-  const upstream = (kind: 'engine' | 'plainService', pool: string, position: number): Member => {
+  const entryAddresses = entryPorts.map((port) => `http://${loopbackAddress(port)}`);
+  const startUpstream = (kind: 'engine' | 'plainService', pool: string, position: number): Member => {
     const name = `${pool}-${position + 1}`;
-    const [port = 0] = take(1);
+    const [port = 0] = takePorts(1);
     const options = {
       kind,
       name,
       port,
-      dataCentre: centreOf(position),
+      dataCentre: dataCentreOf(position),
       labels: { pool },
       host: LOOPBACK,
       entries: entryAddresses,
       upstreamKey: keys.upstream,
     };
-    return starter.start(name, port, 'kumquatfront-stand-ins/upstreamProcess', JSON.stringify(options));
+    return launcher.start(name, port, 'kumquatfront-stand-ins/upstreamProcess', JSON.stringify(options));
   };
   const engines = Array.from({ length: deployment.engines.count }, (_, position) =>
-    upstream('engine', deployment.engines.pool, position),
+    startUpstream('engine', deployment.engines.pool, position),
   );
   const services = Array.from({ length: deployment.services.count }, (_, position) =>
-    upstream('plainService', deployment.services.pool, position),
+    startUpstream('plainService', deployment.services.pool, position),
   );
   return {
     control,
@@ -251,8 +251,8 @@
     services,
     operatorAddresses,
     entryAddresses,
-    dataFolder: (name) => starter.dataFolder(name),
-    restart: (name) => starter.restart(name),
-    stop: () => starter.stop(),
+    dataFolder: (name) => launcher.dataFolder(name),
+    restart: (name) => launcher.restart(name),
+    stop: () => launcher.stop(),
   };
 }
--- a/packages/demo/src/configuring.ts
+++ b/packages/demo/src/configuring.ts
@@ -1,5 +1,5 @@
 /**
- * Applies a configuration file to a running deployment and waits until it is in force everywhere.
+ * Applies a configuration file to a running deployment and waits until it is in force at all entries.
  */
 import * as fs from 'node:fs';
 
@@ -8,20 +8,20 @@
 
 import * as cluster from './cluster.js';
 
-const START_LIMIT = 60_000;
-const IN_FORCE_LIMIT = 60_000;
+const LEADER_TIMEOUT = 60_000;
+const IN_FORCE_TIMEOUT = 60_000;
 const POLL_INTERVAL = 200;
 
-/** What became of the file. */
-export interface Configured {
+/** Result of applying a configuration file. */
+export interface AppliedConfiguration {
   readonly objects: number;
   readonly version: number;
-  readonly inForceAt: number;
+  readonly entriesInForce: number;
 }
 
-/** Waits until a leader answers; on a busy machine the processes take a while to start. */
+/** Waits until a leader answers, at most `LEADER_TIMEOUT`. */
 async function waitForLeader(client: command.operatorClient.OperatorClient): Promise<void> {
-  const endsAt = kumquatfront.systemTime.clock.now() + START_LIMIT;
+  const endsAt = kumquatfront.systemTime.clock.now() + LEADER_TIMEOUT;
   while (kumquatfront.systemTime.clock.now() < endsAt) {
     const status = await client.status();
     if (status.ok && status.val.replicas.some(({ replica }) => replica.role === 'leader' && replica.fresh)) {
@@ -33,12 +33,12 @@
 async function waitUntilInForce(
   client: command.operatorClient.OperatorClient,
   version: number,
-  wanted: number,
+  entryCount: number,
 ): Promise<number> {
   const { clock, scheduler } = kumquatfront.systemTime;
-  const endsAt = clock.now() + IN_FORCE_LIMIT;
+  const endsAt = clock.now() + IN_FORCE_TIMEOUT;
   let count = 0;
-  while (count < wanted && clock.now() < endsAt) {
+  while (count < entryCount && clock.now() < endsAt) {
     const status = await client.status();
     const entries = status.ok ? status.val.replicas.flatMap((replica) => replica.entries) : [];
     const inForce = entries.filter((entry) => entry.configurationVersion >= version);
@@ -51,17 +51,17 @@
 }
 
 /**
- * Applies a file.
+ * Applies a configuration file.
  *
- * @param running - the deployment
+ * @param running - the running deployment
  * @param file - path of the configuration file
- * @returns what became of it
+ * @returns the number of objects, their version and the number of entries where it is in force
  * @example
  * ```ts
  * await configuring.apply(running, 'examples/lankaroute/configuration.json');
  * ```
  */
-export async function apply(running: cluster.Cluster, file: string): Promise<Configured> {
+export async function apply(running: cluster.Cluster, file: string): Promise<AppliedConfiguration> {
   const client = new command.operatorClient.OperatorClient({
     control: running.operatorAddresses,
     key: cluster.keys.operator,
@@ -75,7 +75,7 @@
     throw new kumquatfront.failures.FailureError(applied.val);
   }
   const version = Math.max(...applied.val.map((object) => object.version));
-  const inForceAt = await waitUntilInForce(client, version, running.entries.length);
+  const entriesInForce = await waitUntilInForce(client, version, running.entries.length);
   await client.close();
-  return { objects: applied.val.length, version, inForceAt };
+  return { objects: applied.val.length, version, entriesInForce };
 }
--- a/packages/demo/src/controlProcesses.spec.ts
+++ b/packages/demo/src/controlProcesses.spec.ts
@@ -1,5 +1,5 @@
 /**
- * Control as real processes with real files, killed, stopped and emptied.
+ * Control replicas as real processes with files on disk: killed, paused and restarted with empty data folders.
  */
 import * as assert from 'node:assert/strict';
 import * as fs from 'node:fs';
@@ -14,15 +14,15 @@
 import * as deployments from './deployments.js';
 
 const VOTERS = 3;
-const LIMIT = 60_000;
-const POLL = 200;
+const WAIT_TIMEOUT = 60_000;
+const POLL_INTERVAL = 200;
 const CHANGES = 40;
 const KILL_AFTER = 10;
 
 const { clock, scheduler } = kumquatfront.systemTime;
 
-/** A running control with a client. */
-class Bench {
+/** Running control replicas with an operator client. */
+class ControlTestHarness {
   readonly running: cluster.Cluster;
   readonly client: command.operatorClient.OperatorClient;
   private changes = 0;
@@ -37,31 +37,31 @@
     });
   }
 
-  /** Asks until something holds of the status; a poll, not a timed assertion. */
-  async until(
-    what: string,
-    holds: (status: command.operatorClient.SystemStatus) => boolean,
+  /** Polls the status until a condition holds. */
+  async waitUntil(
+    description: string,
+    condition: (status: command.operatorClient.SystemStatus) => boolean,
   ): Promise<command.operatorClient.SystemStatus> {
-    const endsAt = clock.now() + LIMIT;
+    const endsAt = clock.now() + WAIT_TIMEOUT;
     while (clock.now() < endsAt) {
       const status = await this.client.status();
-      if (status.ok && holds(status.val)) {
+      if (status.ok && condition(status.val)) {
         return status.val;
       }
       await new Promise<void>((resolve) => {
-        scheduler.after(POLL, resolve);
+        scheduler.after(POLL_INTERVAL, resolve);
       });
     }
     const last = await this.client.status();
-    throw new Error(`It never came to this: ${what}. Last status: ${JSON.stringify(last.val)}`);
+    throw new Error(`Timed out waiting for: ${description}. Last status: ${JSON.stringify(last.val)}`);
   }
 
   /**
-   * Waits for three voters whose states are equal. The identities decide: until a repair is done, the lost
-   * identity is still listed as a voter and makes three with the two that are left.
+   * Waits for three running voters with equal state. Voters are compared by identity: until the repair is complete, the
+   * lost identity is still listed as a voter.
    */
-  async untilWhole(): Promise<command.operatorClient.SystemStatus> {
-    return this.until('three running voters with equal state', ({ replicas }) => {
+  async waitForEqualVoters(): Promise<command.operatorClient.SystemStatus> {
+    return this.waitUntil('three running voters with equal state', ({ replicas }) => {
       const leader = replicas.find(({ replica }) => replica.role === 'leader' && replica.fresh);
       const members = leader?.replica.members ?? [];
       const voters = new Set(
@@ -80,8 +80,8 @@
     return leader;
   }
 
-  /** Makes a change; returns its name where it was accepted. */
-  async change(): Promise<string | undefined> {
+  /** Puts a new market; returns its name if the change was accepted. */
+  async putMarket(): Promise<string | undefined> {
     this.changes += 1;
     const name = `market-${this.changes}`;
     const result = await this.client.put({ kind: 'market', name, body: { labels: { region: name } } }, 0);
@@ -96,16 +96,16 @@
   }
 }
 
-async function withControl(run: (bench: Bench) => Promise<void>): Promise<void> {
+async function withControl(runTest: (harness: ControlTestHarness) => Promise<void>): Promise<void> {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'kumquatfront-'));
   const none = { pool: 'none', count: 0 };
   const running = await cluster.start({ ...deployments.tuckshop, engines: none, services: none }, folder);
-  const bench = new Bench(running);
+  const harness = new ControlTestHarness(running);
   try {
-    await bench.untilWhole();
-    await run(bench);
+    await harness.waitForEqualVoters();
+    await runTest(harness);
   } finally {
-    await bench.client.close();
+    await harness.client.close();
     await running.stop();
     fs.rmSync(folder, { recursive: true, force: true });
   }
@@ -117,61 +117,60 @@
   await gone;
 }
 
-// The leader is killed with -9 in the middle of changes and started again on its folder. Operators may have to
-// resend; what they were told is accepted is there afterwards, and all replicas hold the same.
+// Guards against the loss of accepted changes when the leader is killed during writes and restarted on its data folder.
 void test.test('kill -9 of the leader during changes loses nothing that was accepted', async () => {
-  await withControl(async (bench) => {
+  await withControl(async (harness) => {
     const accepted: string[] = [];
     for (let count = 0; count < CHANGES; count += 1) {
       if (count === KILL_AFTER) {
-        const leader = bench.leaderOf((await bench.client.status()).unwrap());
+        const leader = harness.leaderOf((await harness.client.status()).unwrap());
         await kill(leader);
-        bench.running.restart(leader.name);
+        harness.running.restart(leader.name);
       }
-      const name = await bench.change();
+      const name = await harness.putMarket();
       if (name !== undefined) {
         accepted.push(name);
       }
     }
-    await bench.untilWhole();
-    await bench.assertPresent(accepted);
+    await harness.waitForEqualVoters();
+    await harness.assertPresent(accepted);
     assert.ok(accepted.length > KILL_AFTER);
   });
 });
 
-// A control VM comes back with an emptied data folder, and right after its repair another one does. Each joins
-// under a new identity; nothing accepted is lost.
-void test.test('two data folders emptied one after the other are repaired', async () => {
-  await withControl(async (bench) => {
-    const accepted = [await bench.change()];
+// Guards against the loss of accepted changes when two control VMs lose their data folders one after the other and
+// rejoin under new identities.
+void test.test('replicas are repaired after two data folders are emptied one after the other', async () => {
+  await withControl(async (harness) => {
+    const accepted = [await harness.putMarket()];
     for (const name of ['control-1', 'control-2']) {
-      const member = bench.running.control.find((candidate) => candidate.name === name);
+      const member = harness.running.control.find((candidate) => candidate.name === name);
       assert.ok(member);
       await kill(member);
-      fs.rmSync(bench.running.dataFolder(name), { recursive: true });
-      bench.running.restart(name);
-      await bench.untilWhole();
-      accepted.push(await bench.change());
+      fs.rmSync(harness.running.dataFolder(name), { recursive: true });
+      harness.running.restart(name);
+      await harness.waitForEqualVoters();
+      accepted.push(await harness.putMarket());
     }
-    await bench.assertPresent(accepted.map((name) => name ?? 'was refused'));
+    await harness.assertPresent(accepted.map((name) => name ?? 'was refused'));
   });
 });
 
-// The leader is stopped like a VM that is paused, others take over, and it wakes up believing that it leads.
-// There is one leader in the end, and the change made meanwhile holds everywhere.
-void test.test('a leader that was stopped wakes up and follows', async () => {
-  await withControl(async (bench) => {
-    const leader = bench.leaderOf(await bench.untilWhole());
+// Guards against two leaders and lost changes when a paused leader, like that of a paused VM, resumes after another
+// replica was elected.
+void test.test('a paused leader resumes as a follower', async () => {
+  await withControl(async (harness) => {
+    const leader = harness.leaderOf(await harness.waitForEqualVoters());
     leader.child.kill('SIGSTOP');
-    await bench.until('another replica leads', ({ replicas }) =>
+    await harness.waitUntil('another replica leads', ({ replicas }) =>
       replicas.some(
         ({ name, replica }) => name !== leader.name && replica.role === 'leader' && replica.fresh,
       ),
     );
-    const name = await bench.change();
+    const name = await harness.putMarket();
     leader.child.kill('SIGCONT');
-    const status = await bench.untilWhole();
+    const status = await harness.waitForEqualVoters();
     assert.equal(status.replicas.filter(({ replica }) => replica.role === 'leader').length, 1);
-    await bench.assertPresent([name ?? 'was refused']);
+    await harness.assertPresent([name ?? 'was refused']);
   });
 });
--- a/packages/demo/src/demo.ts
+++ b/packages/demo/src/demo.ts
@@ -1,6 +1,6 @@
 /**
- * The demonstration: a deployment in small as separate processes; reports stream while urgent calls go on,
- * an engine and an entry are killed in between. Ends with status 0 only when the promises held.
+ * The demonstration: a small deployment as separate processes. An engine and an entry are killed while long answers
+ * stream and urgent requests continue. Exits with status 0 only if no delivery guarantee was violated.
  */
 import * as fs from 'node:fs';
 import * as path from 'node:path';
@@ -15,12 +15,12 @@
 
 const LONG_TOKENS = 500;
 const LONG_CALLERS = 4;
-const ENGINE_KILL_AT = 4_000;
-const ENTRY_KILL_AT = 7_000;
+const ENGINE_KILL_TIME = 4_000;
+const ENTRY_KILL_TIME = 7_000;
 
 const { scheduler } = kumquatfront.systemTime;
 
-function say(text: string): void {
+function printLine(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
@@ -30,18 +30,18 @@
   });
 }
 
-async function runsOf(member: cluster.Member): Promise<Record<string, number>> {
+async function fetchExecutions(member: cluster.Member): Promise<Record<string, number>> {
   const response = await undici.request(`http://${cluster.LOOPBACK}:${member.port}/stand-in/runs`);
   return (await response.body.json()) as Record<string, number>;
 }
 
-/** Actions that ran more than once, over all services together. */
-async function doubledActions(
+/** Idempotency keys whose action was executed more than once, over all services. */
+async function findDuplicateExecutions(
   services: readonly cluster.Member[],
   keys: readonly string[],
 ): Promise<readonly string[]> {
-  const runs = await Promise.all(services.map(runsOf));
-  return keys.filter((key) => runs.reduce((sum, counts) => sum + (counts[key] ?? 0), 0) > 1);
+  const executions = await Promise.all(services.map(fetchExecutions));
+  return keys.filter((key) => executions.reduce((sum, counts) => sum + (counts[key] ?? 0), 0) > 1);
 }
 
 function quantile(values: readonly number[], share: number): string {
@@ -50,36 +50,39 @@
   return value === undefined ? 'none' : `${value.toFixed(0)} ms`;
 }
 
-function report(results: readonly trafficModule.CallerResult[], figures: trafficModule.Figures): void {
-  say('');
+function printReport(
+  results: readonly trafficModule.CallerResult[],
+  measurements: trafficModule.TrafficMeasurements,
+): void {
+  printLine('');
   for (const result of results) {
-    say(`  ${result.caller.padEnd(28)} ${result.whole} of ${result.sent} whole  ${result.note}`);
-    for (const fault of result.faults.slice(0, 5)) {
-      say(`      fault: ${fault}`);
+    printLine(`  ${result.caller.padEnd(28)} ${result.complete} of ${result.sent} complete  ${result.note}`);
+    for (const violation of result.violations.slice(0, 5)) {
+      printLine(`      violation: ${violation}`);
     }
   }
-  const { urgentStalls, betweenTokens } = figures;
-  say('');
-  say(
+  const { urgentStalls, betweenTokens } = measurements;
+  printLine('');
+  printLine(
     `  stall of urgent calls:  p50 ${quantile(urgentStalls, 0.5)}, p99 ${quantile(urgentStalls, 0.99)}, max ${quantile(urgentStalls, 1)}`,
   );
-  say(
+  printLine(
     `  between tokens:         p50 ${quantile(betweenTokens, 0.5)}, p99 ${quantile(betweenTokens, 0.99)}, max ${quantile(betweenTokens, 1)}`,
   );
 }
 
-async function faults(running: cluster.Cluster): Promise<void> {
-  await pause(ENGINE_KILL_AT);
+async function injectFaults(running: cluster.Cluster): Promise<void> {
+  await pause(ENGINE_KILL_TIME);
   const [engine] = running.engines;
-  say(`Killing engine ${engine?.name ?? ''}.`);
+  printLine(`Killing engine ${engine?.name ?? ''}.`);
   engine?.child.kill('SIGKILL');
-  await pause(ENTRY_KILL_AT - ENGINE_KILL_AT);
+  await pause(ENTRY_KILL_TIME - ENGINE_KILL_TIME);
   const [entry] = running.entries;
-  say(`Killing entry ${entry?.name ?? ''}.`);
+  printLine(`Killing entry ${entry?.name ?? ''}.`);
   entry?.child.kill('SIGKILL');
 }
 
-async function preemptions(engines: readonly cluster.Member[]): Promise<number> {
+async function countPreemptions(engines: readonly cluster.Member[]): Promise<number> {
   let sum = 0;
   for (const engine of engines) {
     if (engine.child.exitCode === null && engine.child.signalCode === null) {
@@ -91,49 +94,57 @@
 }
 
 async function run(running: cluster.Cluster, deployment: deployments.Deployment): Promise<boolean> {
-  const configured = await configuring.apply(running, path.resolve(deployment.configurationFile));
-  say(`Applied ${configured.objects} objects; accepted as version ${configured.version}.`);
-  say(`In force at ${configured.inForceAt} of ${running.entries.length} entries.`);
+  const applied = await configuring.apply(running, path.resolve(deployment.configurationFile));
+  printLine(`Applied ${applied.objects} objects; accepted as version ${applied.version}.`);
+  printLine(`In force at ${applied.entriesInForce} of ${running.entries.length} entries.`);
   const traffic = new trafficModule.Traffic(running.entryAddresses, deployment);
   const keys: string[] = [];
-  let over = false;
-  const isOver = (): boolean => over;
+  let stopped = false;
+  const isStopped = (): boolean => stopped;
   const { accounts } = deployment.longTraffic;
-  const long = Promise.all(
+  const longAnswers = Promise.all(
     Array.from({ length: LONG_CALLERS }, (_, position) =>
-      traffic.long(accounts[position % accounts.length] ?? '', LONG_TOKENS),
+      traffic.streamLongAnswer(accounts[position % accounts.length] ?? '', LONG_TOKENS),
     ),
   );
-  const background = Promise.all([traffic.short(isOver), traffic.reads(isOver), traffic.acts(isOver, keys)]);
-  await faults(running);
-  const longResults = await long;
-  over = true;
+  const background = Promise.all([
+    traffic.sendShortPrompts(isStopped),
+    traffic.sendReads(isStopped),
+    traffic.sendActions(isStopped, keys),
+  ]);
+  await injectFaults(running);
+  const longResults = await longAnswers;
+  stopped = true;
   const results = [...longResults, ...(await background)];
-  report(results, traffic.figures);
-  const doubled = await doubledActions(running.services, keys);
-  say(`  preemptions:            ${await preemptions(running.engines)}`);
-  say(`  actions run twice:      ${doubled.length}`);
+  printReport(results, traffic.measurements);
+  const duplicated = await findDuplicateExecutions(running.services, keys);
+  printLine(`  preemptions:            ${await countPreemptions(running.engines)}`);
+  printLine(`  duplicate actions:      ${duplicated.length}`);
   await traffic.close();
-  return doubled.length === 0 && results.every((result) => result.faults.length === 0);
+  return duplicated.length === 0 && results.every((result) => result.violations.length === 0);
 }
 
 async function main(): Promise<number> {
   const name = process.argv[2] ?? 'tuckshop';
   const deployment = deployments.byName[name];
   if (deployment === undefined) {
-    say(`There is no deployment "${name}". Use one of ${Object.keys(deployments.byName).join(', ')}.`);
+    printLine(`There is no deployment "${name}". Use one of ${Object.keys(deployments.byName).join(', ')}.`);
     return 2;
   }
   const folder = path.resolve('.demo', name);
   fs.rmSync(folder, { recursive: true, force: true });
-  say(
-    `Starting ${deployment.name} in small: 3 control, 4 entries, ${deployment.engines.count} engines, ${deployment.services.count} services.`,
+  printLine(
+    `Starting ${deployment.name} at reduced size: 3 control replicas, 4 entries, ${deployment.engines.count} engines, ${deployment.services.count} services.`,
   );
   const running = await cluster.start(deployment, folder);
   try {
-    const held = await run(running, deployment);
-    say(held ? 'The promises held.' : 'A promise was broken; see the faults above.');
-    return held ? 0 : 1;
+    const passed = await run(running, deployment);
+    printLine(
+      passed
+        ? 'All delivery guarantees held.'
+        : 'A delivery guarantee was violated; see the violations above.',
+    );
+    return passed ? 0 : 1;
   } finally {
     await running.stop();
   }
--- a/packages/demo/src/deployments.ts
+++ b/packages/demo/src/deployments.ts
@@ -1,8 +1,8 @@
 /**
- * The two deployments of the demonstration, in small.
+ * The two deployments of the demonstration, at reduced size.
  */
 
-/** Traffic of one deployment. */
+/** Size and traffic of one deployment. */
 export interface Deployment {
   readonly name: string;
   readonly configurationFile: string;
@@ -14,7 +14,7 @@
     readonly accounts: readonly string[];
     readonly model: string;
   };
-  /** Short calls to an engine. */
+  /** Short requests to an engine. */
   readonly shortTraffic: { readonly label: string; readonly account: string; readonly model: string };
   readonly service: {
     readonly name: string;
@@ -24,7 +24,7 @@
   };
 }
 
-/** Tuckshop Ledger. */
+/** Tuckshop Ledger: three data centres. */
 export const tuckshop: Deployment = {
   name: 'Tuckshop Ledger',
   configurationFile: 'examples/tuckshopLedger/configuration.json',
@@ -36,7 +36,7 @@
   service: { name: 'tuckshop', account: 'canteen', readPath: '/balances', actPath: '/reimbursements' },
 };
 
-/** Lankaroute Beverages. */
+/** Lankaroute Beverages: four data centres. */
 export const lankaroute: Deployment = {
   name: 'Lankaroute Beverages',
   configurationFile: 'examples/lankaroute/configuration.json',
@@ -52,5 +52,5 @@
   service: { name: 'van', account: 'vans', readPath: '/balances', actPath: '/orders' },
 };
 
-/** Deployments by the name given on the command line. */
+/** Deployments by their name on the command line. */
 export const byName: Readonly<Record<string, Deployment>> = { tuckshop, lankaroute };
--- a/packages/demo/src/index.ts
+++ b/packages/demo/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The demonstration's deployments, for benchmarks that run the real processes.
+ * Deployments of the demonstration, for benchmarks that run the real processes.
  */
 export * as cluster from './cluster.js';
 export * as configuring from './configuring.js';
--- a/packages/demo/src/openaiClient.spec.ts
+++ b/packages/demo/src/openaiClient.spec.ts
@@ -1,5 +1,5 @@
 /**
- * The path as separate processes, tried with a client that nobody here wrote.
+ * Compatibility of the request path, as separate processes, with the official OpenAI client.
  */
 import * as assert from 'node:assert/strict';
 import * as fs from 'node:fs';
@@ -16,7 +16,7 @@
 const WORKSPACE = new URL('../../../', import.meta.url).pathname;
 const OUTPUT_TOKENS = 12;
 
-void test.test('the openai client gets its answers, streamed and whole', async () => {
+void test.test('the OpenAI client receives streamed and unstreamed answers', async () => {
   const deployment = {
     ...deployments.tuckshop,
     configurationFile: path.join(WORKSPACE, deployments.tuckshop.configurationFile),
@@ -47,13 +47,13 @@
       Array.from({ length: OUTPUT_TOKENS }, (_, index) => index),
     );
 
-    const whole = await client.completions.create({
+    const completion = await client.completions.create({
       model: 'ledger-8b',
       prompt: 'Is a receipt for cups claimable?',
       max_tokens: OUTPUT_TOKENS,
     });
-    assert.equal(whole.choices[0]?.text.trim().split(' ').length, OUTPUT_TOKENS);
-    assert.equal(whole.usage?.completion_tokens, OUTPUT_TOKENS);
+    assert.equal(completion.choices[0]?.text.trim().split(' ').length, OUTPUT_TOKENS);
+    assert.equal(completion.usage?.completion_tokens, OUTPUT_TOKENS);
   } finally {
     await running.stop();
     fs.rmSync(folder, { recursive: true, force: true });
--- a/packages/demo/src/operators.spec.ts
+++ b/packages/demo/src/operators.spec.ts
@@ -1,5 +1,5 @@
 /**
- * What operators do, with the command and the daemons as real processes.
+ * Operator tasks, with the command line and the daemons as real processes.
  */
 import * as assert from 'node:assert/strict';
 import * as childProcess from 'node:child_process';
@@ -15,7 +15,7 @@
 import * as deployments from './deployments.js';
 
 const WORKSPACE = new URL('../../../', import.meta.url).pathname;
-const COMMAND = new URL(import.meta.resolve('kumquatfront-command/main')).pathname;
+const COMMAND_FILE = new URL(import.meta.resolve('kumquatfront-command/main')).pathname;
 const TOKENS = 300;
 
 interface CommandRun {
@@ -24,7 +24,7 @@
   readonly errors: string;
 }
 
-function command(running: cluster.Cluster | undefined, ...words: readonly string[]): Promise<CommandRun> {
+function runCommand(running: cluster.Cluster | undefined, ...words: readonly string[]): Promise<CommandRun> {
   const environment = {
     ...process.env,
     KUMQUATFRONT_CONTROL: running?.operatorAddresses.join(',') ?? '',
@@ -33,7 +33,7 @@
   return new Promise((resolve) => {
     const child = childProcess.execFile(
       process.execPath,
-      [COMMAND, ...words],
+      [COMMAND_FILE, ...words],
       { env: environment },
       (_error, stdout, stderr) => {
         resolve({ status: child.exitCode, output: stdout, errors: stderr });
@@ -43,45 +43,45 @@
 }
 
 async function withDeployment(
-  run: (running: cluster.Cluster, folder: string) => Promise<void>,
+  runTest: (running: cluster.Cluster, folder: string) => Promise<void>,
 ): Promise<void> {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'kumquatfront-'));
   const running = await cluster.start(deployments.tuckshop, folder);
   try {
     await configuring.apply(running, path.join(WORKSPACE, deployments.tuckshop.configurationFile));
-    await run(running, folder);
+    await runTest(running, folder);
   } finally {
     await running.stop();
     fs.rmSync(folder, { recursive: true, force: true });
   }
 }
 
-void test.test('a market is opened with a file: checked, compared, applied, in force', async () => {
+void test.test('a market is added from a file: checked, compared, applied, in force', async () => {
   await withDeployment(async (running, folder) => {
     const file = path.join(folder, 'market.json');
     const body = { labels: { region: 'north' } };
     fs.writeFileSync(file, JSON.stringify({ objects: [{ kind: 'market', name: 'wa-geraldton', body }] }));
-    assert.equal((await command(undefined, 'check', 'configuration', file)).status, 0);
-    assert.equal((await command(running, 'diff', '-f', file)).status, 1);
-    const applied = await command(running, 'apply', '-f', file, '-o', 'json');
+    assert.equal((await runCommand(undefined, 'check', 'configuration', file)).status, 0);
+    assert.equal((await runCommand(running, 'diff', '-f', file)).status, 1);
+    const applied = await runCommand(running, 'apply', '-f', file, '-o', 'json');
     assert.equal(applied.status, 0, applied.errors);
     const [{ action }] = JSON.parse(applied.output) as [{ action: string }];
     assert.equal(action, 'created');
-    assert.equal((await command(running, 'diff', '-f', file)).status, 0);
-    assert.match((await command(running, 'get', 'market', 'wa-geraldton')).output, /north/);
-    assert.match((await command(running, 'status')).output, /in force at \d of 4 entries/);
-    assert.equal((await command(running, 'delete', 'market', 'wa-geraldton')).status, 0);
-    const refused = await command(running, 'delete', 'market', 'wa-perth');
+    assert.equal((await runCommand(running, 'diff', '-f', file)).status, 0);
+    assert.match((await runCommand(running, 'get', 'market', 'wa-geraldton')).output, /north/);
+    assert.match((await runCommand(running, 'status')).output, /in force at \d of 4 entries/);
+    assert.equal((await runCommand(running, 'delete', 'market', 'wa-geraldton')).status, 0);
+    const refused = await runCommand(running, 'delete', 'market', 'wa-perth');
     assert.equal(refused.status, 1);
     assert.match(refused.errors, /still refers to market\/wa-perth.*Delete or change that one first/);
     const page = path.join(folder, 'burn.html');
-    assert.equal((await command(running, 'report', 'burn', '--html', page)).status, 0);
+    assert.equal((await runCommand(running, 'report', 'burn', '--html', page)).status, 0);
     assert.match(fs.readFileSync(page, 'utf8'), /<svg/);
   });
 });
 
-// An entry is drained by command while it streams a long report. The report comes whole over its one connection,
-// the entry leaves the address list, and its process ends by itself with status 0.
+// Guards against interrupted streams when an entry is drained: the answer must complete over the same connection and
+// the process must exit with status 0.
 void test.test('draining a real entry cuts off no request in flight', async () => {
   await withDeployment(async (running) => {
     const [entry] = running.entries;
@@ -105,7 +105,7 @@
     const result = await client.streamAt(address, '/v1/completions', body, {
       onToken: () => {
         received += 1;
-        drained ??= command(running, 'drain', entry.name);
+        drained ??= runCommand(running, 'drain', entry.name);
       },
       onRestart: () => {
         received = 0;
@@ -119,14 +119,14 @@
   });
 });
 
-void test.test('settings at fault are named with the remedy', async () => {
+void test.test('invalid settings are reported with a remedy', async () => {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'kumquatfront-'));
   const file = path.join(folder, 'entry.json');
   fs.writeFileSync(file, JSON.stringify({ entry: { name: 'entry-1', colour: 'red' } }));
-  const run = await command(undefined, 'check', 'settings', file);
+  const run = await runCommand(undefined, 'check', 'settings', file);
   assert.equal(run.status, 1);
   assert.match(run.errors, /Add the key|Remove the key/);
-  const sound = await command(
+  const sound = await runCommand(
     undefined,
     'check',
     'settings',
@@ -138,16 +138,16 @@
 
 void test.test('a data centre is evacuated and restored by name, and the status shows it', async () => {
   await withDeployment(async (running) => {
-    const refused = await command(running, 'evacuate', 'nowhere');
+    const refused = await runCommand(running, 'evacuate', 'nowhere');
     assert.notEqual(refused.status, 0);
     assert.match(refused.errors, /There is no data centre "nowhere".*Name one of: /s);
     const [, known = ''] = /Name one of: ([^,.\s]+)/.exec(refused.errors) ?? [];
-    assert.equal((await command(running, 'evacuate', known)).status, 0);
-    const again = await command(running, 'evacuate', known);
+    assert.equal((await runCommand(running, 'evacuate', known)).status, 0);
+    const again = await runCommand(running, 'evacuate', known);
     assert.equal(again.status, 0);
-    const status = await command(running, 'status');
+    const status = await runCommand(running, 'status');
     assert.match(status.output, new RegExp(`EVACUATED.*${known}`, 's'));
-    const restored = await command(running, 'restore', known);
+    const restored = await runCommand(running, 'restore', known);
     assert.match(restored.output, /no data centre is evacuated/);
   });
 });
--- a/packages/demo/src/traffic.ts
+++ b/packages/demo/src/traffic.ts
@@ -1,32 +1,32 @@
 /**
- * The callers of the demonstration, and what each of them got.
+ * Generates the traffic of the demonstration and checks the answers of each caller.
  */
 import * as kumquatfront from 'kumquatfront';
 
 import type * as deployments from './deployments.js';
 
-/** What one caller got. */
+/** Result of one caller. */
 export interface CallerResult {
   readonly caller: string;
   readonly sent: number;
-  readonly whole: number;
-  /** What went against a promise; empty when all is well. */
-  readonly faults: readonly string[];
+  readonly complete: number;
+  /** Violations of the delivery guarantees. */
+  readonly violations: readonly string[];
   readonly note: string;
 }
 
-/** Figures gathered over all callers, in milliseconds. */
-export interface Figures {
+/** Measurements over all callers, in milliseconds. */
+export interface TrafficMeasurements {
   readonly urgentStalls: number[];
   readonly betweenTokens: number[];
 }
 
-const TEXT = /^(\S+)#(\d+) $/;
+const TOKEN_PATTERN = /^(\S+)#(\d+) $/;
 const PROMPT = 'Reconcile these receipts of the term and list what does not add up. '.repeat(12);
 
-/** Makes callers with a key and labels. */
+/** Callers of one deployment, each with a key and labels. */
 export class Traffic {
-  readonly figures: Figures = { urgentStalls: [], betweenTokens: [] };
+  readonly measurements: TrafficMeasurements = { urgentStalls: [], betweenTokens: [] };
   private readonly entries: readonly string[];
   private readonly deployment: deployments.Deployment;
   private readonly clients: kumquatfront.callerClient.CallerClient[] = [];
@@ -36,7 +36,7 @@
     this.deployment = deployment;
   }
 
-  private client(account: string, labels: string): kumquatfront.callerClient.CallerClient {
+  private createClient(account: string, labels: string): kumquatfront.callerClient.CallerClient {
     const options = {
       entries: this.entries,
       key: `demo-key-${account}`,
@@ -54,20 +54,20 @@
     return kumquatfront.systemTime.clock.now();
   }
 
-  /** Streams one long answer and checks every token. */
-  async long(account: string, tokens: number): Promise<CallerResult> {
+  /** Streams one long answer and checks the order and number of its tokens. */
+  async streamLongAnswer(account: string, tokens: number): Promise<CallerResult> {
     const { label, model } = this.deployment.longTraffic;
-    const faults: string[] = [];
+    const violations: string[] = [];
     let received: { generation: string; index: number }[] = [];
     let lastAt: number | undefined;
     const receiver = {
       onToken: (data: string): void => {
         const chunk = JSON.parse(data) as { choices: readonly { text: string }[] };
-        const [, generation = '', index = ''] = TEXT.exec(chunk.choices[0]?.text ?? '') ?? [];
+        const [, generation = '', index = ''] = TOKEN_PATTERN.exec(chunk.choices[0]?.text ?? '') ?? [];
         received.push({ generation, index: Number(index) });
         const at = this.now();
         if (lastAt !== undefined) {
-          this.figures.betweenTokens.push(at - lastAt);
+          this.measurements.betweenTokens.push(at - lastAt);
         }
         lastAt = at;
       },
@@ -76,17 +76,17 @@
       },
     };
     const body = { model, prompt: `${account}: ${PROMPT}`, stand_in_output_tokens: tokens };
-    const result = await this.client(account, label).stream('/v1/completions', body, receiver);
+    const result = await this.createClient(account, label).stream('/v1/completions', body, receiver);
     if (result.err) {
-      faults.push(`not answered: ${result.val.message}`);
+      violations.push(`not answered: ${result.val.message}`);
     } else if (received.length !== tokens) {
-      faults.push(`${received.length} tokens of ${tokens}`);
+      violations.push(`received ${received.length} tokens of ${tokens}`);
     }
     if (received.some((token, position) => token.index !== position)) {
-      faults.push('tokens out of order');
+      violations.push('received tokens out of order');
     }
     if (new Set(received.map((token) => token.generation)).size > 1) {
-      faults.push('tokens of two generations');
+      violations.push('received tokens of two generations');
     }
     const note = result.ok
       ? `${tokens} tokens, ${result.val.restarts} restarts, ${result.val.reconnects} reconnects`
@@ -94,20 +94,20 @@
     return {
       caller: `${label.slice(8)} for ${account}`,
       sent: 1,
-      whole: faults.length === 0 ? 1 : 0,
-      faults,
+      complete: violations.length === 0 ? 1 : 0,
+      violations,
       note,
     };
   }
 
-  /** Asks short questions of an engine until told to stop. */
-  async short(isOver: () => boolean): Promise<CallerResult> {
+  /** Sends short prompts to an engine until stopped. */
+  async sendShortPrompts(isStopped: () => boolean): Promise<CallerResult> {
     const { label, account, model } = this.deployment.shortTraffic;
-    const client = this.client(account, label);
-    const faults: string[] = [];
+    const client = this.createClient(account, label);
+    const violations: string[] = [];
     let sent = 0;
-    let whole = 0;
-    while (!isOver()) {
+    let complete = 0;
+    while (!isStopped()) {
       sent += 1;
       const startedAt = this.now();
       let tokens = 0;
@@ -115,7 +115,7 @@
       const result = await client.stream('/v1/completions', body, {
         onToken: () => {
           if (tokens === 0 && label === 'traffic=question') {
-            this.figures.urgentStalls.push(this.now() - startedAt);
+            this.measurements.urgentStalls.push(this.now() - startedAt);
           }
           tokens += 1;
         },
@@ -124,13 +124,13 @@
         },
       });
       if (result.ok && tokens === 12) {
-        whole += 1;
+        complete += 1;
       } else {
-        faults.push(`question ${sent}: ${result.err ? result.val.message : `${tokens} tokens of 12`}`);
+        violations.push(`question ${sent}: ${result.err ? result.val.message : `${tokens} tokens of 12`}`);
       }
       await this.pause(150);
     }
-    return { caller: `${label.slice(8)}s`, sent, whole, faults, note: '' };
+    return { caller: `${label.slice(8)}s`, sent, complete, violations, note: '' };
   }
 
   private pause(milliseconds: number): Promise<void> {
@@ -139,38 +139,42 @@
     });
   }
 
-  /** Reads balances until told to stop; each answer must be the one to its own question. */
-  async reads(isOver: () => boolean): Promise<CallerResult> {
+  /** Reads balances until stopped; each answer must belong to its request. */
+  async sendReads(isStopped: () => boolean): Promise<CallerResult> {
     const { name, account, readPath } = this.deployment.service;
-    const client = this.client(account, '');
-    const faults: string[] = [];
+    const client = this.createClient(account, '');
+    const violations: string[] = [];
     let sent = 0;
-    let whole = 0;
-    while (!isOver()) {
+    let complete = 0;
+    while (!isStopped()) {
       sent += 1;
       const path = `${readPath}/${sent}`;
       const startedAt = this.now();
       const result = await client.call(name, 'GET', path, '');
-      this.figures.urgentStalls.push(this.now() - startedAt);
+      this.measurements.urgentStalls.push(this.now() - startedAt);
       if (result.ok && (JSON.parse(result.val.body) as { path: string }).path === path) {
-        whole += 1;
+        complete += 1;
       } else {
-        faults.push(`read ${sent}: ${result.err ? result.val.message : 'the answer to another question'}`);
+        violations.push(
+          `read ${sent}: ${result.err ? result.val.message : 'received the answer to another request'}`,
+        );
       }
       await this.pause(40);
     }
-    return { caller: `${readPath.slice(1)} reads`, sent, whole, faults, note: '' };
+    return { caller: `${readPath.slice(1)} reads`, sent, complete, violations, note: '' };
   }
 
-  /** Acts until told to stop, each action sent twice at once; returns the keys that were used too. */
-  async acts(isOver: () => boolean, keys: string[]): Promise<CallerResult> {
+  /**
+   * Sends actions until stopped, each twice concurrently with the same idempotency key; appends the keys to `keys`.
+   */
+  async sendActions(isStopped: () => boolean, keys: string[]): Promise<CallerResult> {
     const { name, account, actPath } = this.deployment.service;
-    const clients = [this.client(account, ''), this.client(account, '')];
-    const faults: string[] = [];
+    const clients = [this.createClient(account, ''), this.createClient(account, '')];
+    const violations: string[] = [];
     let sent = 0;
-    let whole = 0;
-    let unknown = 0;
-    while (!isOver()) {
+    let complete = 0;
+    let unknownOutcomes = 0;
+    while (!isStopped()) {
       sent += 1;
       const key = `act-${sent}`;
       keys.push(key);
@@ -179,18 +183,18 @@
         clients.map((client) => client.call(name, 'POST', actPath, body, key)),
       );
       if (answers.every((answer) => answer.ok)) {
-        whole += 1;
+        complete += 1;
       } else if (answers.some((answer) => answer.err && answer.val.kind === 'outcomeUnknown')) {
-        unknown += 1;
+        unknownOutcomes += 1;
       } else {
-        faults.push(
+        violations.push(
           `act ${sent}: ${answers.map((answer) => (answer.err ? answer.val.message : 'ok')).join(' / ')}`,
         );
       }
       await this.pause(120);
     }
-    const note = `each sent twice; ${unknown} with an unknown outcome`;
-    return { caller: actPath.slice(1), sent, whole, faults, note };
+    const note = `each sent twice; ${unknownOutcomes} with unknown outcome`;
+    return { caller: actPath.slice(1), sent, complete, violations, note };
   }
 
   async close(): Promise<void> {
--- a/packages/soak/src/backPressure.ts
+++ b/packages/soak/src/backPressure.ts
@@ -1,76 +1,85 @@
 /**
- * Runners that tell their senders to send less, once it is quiet after the trouble: one names a rate limit, another one
- * turns everything away and asks for pauses.
+ * Checks back pressure after the fault phase: entries must respect an instance's rate limit and the pause that a
+ * rejecting instance requests.
  */
 import * as platform from 'kumquatfront-platform';
 
-import type * as evacuation from './evacuation.js';
-import type * as ledger from './ledger.js';
-import * as pause from './pause.js';
-import type * as runners from './runners.js';
+import type * as evacuationCheck from './evacuationCheck.js';
+import type * as invariantChecker from './invariantChecker.js';
+import * as sleep from './sleep.js';
+import type * as stubInstance from './stubInstance.js';
 
 const { headers } = platform.names;
 
-/** Requests a second that a runner names. */
+/** Rate limit that an instance announces, in requests per second. */
 const RATE_LIMIT = 1.5;
-/** Time after which the limit is kept, and what may then arrive in a window. */
-const KEPT_AFTER_MS = 3_000;
-const WINDOW_MS = 4_000;
-const MOST_IN_WINDOW = 1.5 * RATE_LIMIT * (WINDOW_MS / 1_000) + 5;
+/** Time after which entries must respect the limit; then the arrivals in a window are counted. */
+const RATE_LIMIT_SETTLE_MS = 3_000;
+const RATE_WINDOW_MS = 4_000;
+const MAXIMUM_REQUESTS_PER_WINDOW = 1.5 * RATE_LIMIT * (RATE_WINDOW_MS / 1_000) + 5;
 
 const PAUSE_SECONDS = 2.5;
-/** Requests may be under way for so long when an entry hears of the pause; two from each entry may come later. */
-const UNDER_WAY_MS = 500;
-const MOST_OF_ENTRY = 2;
+/** Requests may be in flight for this long when an entry receives the pause; each entry may send two more. */
+const IN_FLIGHT_MS = 500;
+const MAXIMUM_REQUESTS_PER_ENTRY = 2;
 
-/** What the check needs. */
+/** Dependencies of the back pressure check. */
 export interface BackPressureOptions {
-  readonly book: ledger.Ledger;
-  readonly runners: readonly runners.Runner[];
+  readonly checker: invariantChecker.InvariantChecker;
+  readonly instances: readonly stubInstance.StubInstance[];
   readonly entryCount: number;
-  readonly until: evacuation.Until;
+  readonly waitUntil: evacuationCheck.WaitUntil;
 }
 
 /**
- * Checks that entries send a runner what it asks for, and come back after.
+ * Checks that entries respect rate limits and pauses, and resume sending once they are lifted.
  *
- * @param options - the runners, and the book that takes faults
+ * @param options - the instances, and the checker that records violations
  * @example
  * ```ts
- * await backPressure.check({ book, runners, entryCount: 2, until });
+ * await backPressure.check({ checker, instances, entryCount: 2, waitUntil });
  * ```
  */
-export async function check({ book, runners: all, entryCount, until }: BackPressureOptions): Promise<void> {
-  const [limited, tired] = all.filter(({ identity }) => identity.startsWith('app-'));
-  if (limited === undefined || tired === undefined) {
-    throw new Error('the soak has too few runners of its plain service');
+export async function check({
+  checker,
+  instances,
+  entryCount,
+  waitUntil,
+}: BackPressureOptions): Promise<void> {
+  const [rateLimited, paused] = instances.filter(({ identity }) => identity.startsWith('app-'));
+  if (rateLimited === undefined || paused === undefined) {
+    throw new Error('the back pressure check needs two instances of the plain service');
   }
-  limited.extraHeaders = { [headers.rateLimit]: String(RATE_LIMIT) };
-  await pause.of(KEPT_AFTER_MS);
-  const arrived = await arrivalsIn(limited, WINDOW_MS);
-  if (arrived > MOST_IN_WINDOW) {
-    book.faults.push(`${limited.identity} takes ${RATE_LIMIT} a second and got ${arrived} in four seconds`);
+  rateLimited.extraHeaders = { [headers.rateLimit]: String(RATE_LIMIT) };
+  await sleep.forMilliseconds(RATE_LIMIT_SETTLE_MS);
+  const arrived = await countArrivals(rateLimited, RATE_WINDOW_MS);
+  if (arrived > MAXIMUM_REQUESTS_PER_WINDOW) {
+    checker.violations.push(
+      `${rateLimited.identity} has a rate limit of ${RATE_LIMIT} requests/s and received ${arrived} requests in 4 s`,
+    );
   }
-  limited.extraHeaders = {};
-  tired.extraHeaders = { [headers.pause]: String(PAUSE_SECONDS) };
-  tired.turnsAway = true;
-  await pause.of(UNDER_WAY_MS * 2);
-  const within = await arrivalsIn(tired, PAUSE_SECONDS * 1_000 - UNDER_WAY_MS * 2);
-  if (within > MOST_OF_ENTRY * entryCount) {
-    book.faults.push(`${tired.identity} asked for a pause and got ${within} requests within it`);
+  rateLimited.extraHeaders = {};
+  paused.extraHeaders = { [headers.pause]: String(PAUSE_SECONDS) };
+  paused.rejectsRequests = true;
+  await sleep.forMilliseconds(IN_FLIGHT_MS * 2);
+  const arrivedDuringPause = await countArrivals(paused, PAUSE_SECONDS * 1_000 - IN_FLIGHT_MS * 2);
+  if (arrivedDuringPause > MAXIMUM_REQUESTS_PER_ENTRY * entryCount) {
+    checker.violations.push(
+      `${paused.identity} requested a pause and received ${arrivedDuringPause} requests during it`,
+    );
   }
-  tired.turnsAway = false;
-  tired.extraHeaders = {};
-  for (const runner of [limited, tired]) {
-    const before = runner.arrivals;
-    if (!(await until(() => Promise.resolve(runner.arrivals > before + entryCount)))) {
-      book.faults.push(`${runner.identity} got nothing more once it took requests again`);
+  paused.rejectsRequests = false;
+  paused.extraHeaders = {};
+  for (const instance of [rateLimited, paused]) {
+    const before = instance.arrivals;
+    if (!(await waitUntil(() => Promise.resolve(instance.arrivals > before + entryCount)))) {
+      checker.violations.push(`${instance.identity} received no requests after it accepted them again`);
     }
   }
 }
 
-async function arrivalsIn(runner: runners.Runner, length: number): Promise<number> {
-  const before = runner.arrivals;
-  await pause.of(length);
-  return runner.arrivals - before;
+async function countArrivals(instance: stubInstance.StubInstance, duration: number): Promise<number> {
+  const before = instance.arrivals;
+  await sleep.forMilliseconds(duration);
+  return instance.arrivals - before;
 }
--- a/packages/soak/src/clients.ts
+++ b/packages/soak/src/clients.ts
@@ -1,30 +1,30 @@
 /**
- * Clients that call entries, some on kept connections which they use until the process is gone, and an operator
- * who replaces and reads the configuration.
+ * Clients that send requests to the entries, partly over keep-alive connections, and an operator that replaces and reads
+ * the configuration.
  */
 import * as http from 'node:http';
 
 import type * as kumquatfront from 'kumquatfront';
 import * as platform from 'kumquatfront-platform';
 
-import type * as ledger from './ledger.js';
-import * as pause from './pause.js';
+import type * as invariantChecker from './invariantChecker.js';
+import * as sleep from './sleep.js';
 
-const PATIENCE_MS = 4_000;
+const CALL_TIMEOUT_MS = 4_000;
 
-/** One HTTP call; a status of 0 means that there was no whole head. */
+/** Result of an HTTP call; status 0 means that no complete response head was received. */
 export interface CallResult {
   readonly status: number;
   readonly body: string;
-  readonly whole: boolean;
+  readonly complete: boolean;
 }
 
 /**
- * Makes one call.
+ * Sends one HTTP request.
  *
- * @param options - Node's own options
- * @param body - the request's body
- * @returns how it ended
+ * @param options - request options of `node:http`
+ * @param body - request body
+ * @returns the result; never rejects
  * @example
  * ```ts
  * const result = await clients.call({ host: '127.0.23.1', port: 8740, path: '/lookUp/x' }, '');
@@ -34,13 +34,13 @@
   return new Promise((resolve) => {
     let status = 0;
     let text = '';
-    const request = http.request({ timeout: PATIENCE_MS, ...options });
-    const end = (whole: boolean): void => {
-      resolve({ status, body: text, whole });
+    const request = http.request({ timeout: CALL_TIMEOUT_MS, ...options });
+    const finish = (complete: boolean): void => {
+      resolve({ status, body: text, complete });
     };
     request.on('timeout', () => request.destroy());
     request.on('error', () => {
-      end(false);
+      finish(false);
     });
     request.on('response', (response) => {
       status = response.statusCode ?? 0;
@@ -48,19 +48,19 @@
         text += bytes.toString();
       });
       response.on('end', () => {
-        end(response.complete);
+        finish(response.complete);
       });
       response.on('error', () => {
-        end(false);
+        finish(false);
       });
     });
     request.end(body);
   });
 }
 
-const kinds: readonly ledger.Told['kind'][] = ['payment', 'lookUp', 'stream'];
+const requestKinds: readonly invariantChecker.AttemptOutcome['kind'][] = ['payment', 'lookUp', 'stream'];
 
-/** A client that goes on calling until it is stopped. */
+/** Sends requests in a loop until it is stopped. */
 export class Client {
   private stopped = false;
   private readonly agent = new http.Agent({ keepAlive: true, maxSockets: 2 });
@@ -69,7 +69,7 @@
     private readonly entries: readonly string[],
     private readonly port: number,
     private readonly random: kumquatfront.ports.Random,
-    private readonly book: ledger.Ledger,
+    private readonly checker: invariantChecker.InvariantChecker,
   ) {
     void this.run();
   }
@@ -77,13 +77,13 @@
   private async run(): Promise<void> {
     while (!this.stopped) {
       await this.callOnce();
-      await pause.of(20 + this.random.next() * 60);
+      await sleep.forMilliseconds(20 + this.random.next() * 60);
     }
   }
 
   private async callOnce(): Promise<void> {
     const identity = this.random.identity();
-    const kind = kinds[Math.floor(this.random.next() * kinds.length)] ?? 'payment';
+    const kind = requestKinds[Math.floor(this.random.next() * requestKinds.length)] ?? 'payment';
     const host = this.entries[Math.floor(this.random.next() * this.entries.length)] ?? '';
     const result = await call(
       {
@@ -95,14 +95,14 @@
         headers: {
           Host: 'soak.example',
           [platform.names.headers.attempt]: identity,
-          [platform.names.headers.timeLeft]: String(PATIENCE_MS),
+          [platform.names.headers.timeLeft]: String(CALL_TIMEOUT_MS),
           [platform.names.headers.tokens]: '300,160',
           Authorization: 'Token key',
         },
       },
       kind === 'lookUp' ? '' : 'x'.repeat(100),
     );
-    this.book.told({ identity, kind, ...result });
+    this.checker.recordOutcome({ identity, kind, ...result });
   }
 
   stop(): void {
@@ -111,10 +111,10 @@
   }
 }
 
-/** Requests a second that a cold runner tolerates. */
-export const COLD_TOLERATES = 2;
+/** Requests per second that a cold instance tolerates. */
+export const COLD_REQUESTS_PER_SECOND = 2;
 
-/** The configuration of a soak, at a version. */
+/** Configuration of a soak run with the given version, as JSON. */
 export function configurationText(version: number): string {
   const route = (name: string, kind: string, service: string, attempts: number): object => ({
     name,
@@ -139,7 +139,7 @@
     backups: false,
     stride: 4,
   };
-  const cold = { cold_start_s: 1, cold_per_s: COLD_TOLERATES };
+  const cold = { cold_start_s: 1, cold_per_s: COLD_REQUESTS_PER_SECOND };
   return JSON.stringify({
     version,
     routes: [
@@ -163,60 +163,60 @@
   });
 }
 
-/** An operator that replaces the configuration again and again, and reads it anywhere. */
+/** Replaces the configuration and reads it from random control replicas. */
 export class Operator {
   private stopped = false;
   private version = 0;
 
   constructor(
-    private readonly control: readonly string[],
+    private readonly controlHosts: readonly string[],
     private readonly port: number,
     private readonly random: kumquatfront.ports.Random,
-    private readonly book: ledger.Ledger,
+    private readonly checker: invariantChecker.InvariantChecker,
   ) {}
 
-  private host(): string {
-    return this.control[Math.floor(this.random.next() * this.control.length)] ?? '';
+  private pickHost(): string {
+    return this.controlHosts[Math.floor(this.random.next() * this.controlHosts.length)] ?? '';
   }
 
-  /** Replaces the configuration once; true where it was acknowledged. */
-  async replace(): Promise<boolean> {
+  /** Replaces the configuration; true if the change was acknowledged. */
+  async replaceConfiguration(): Promise<boolean> {
     this.version += 1;
     const { version } = this;
-    const options = { host: this.host(), port: this.port, method: 'POST', path: '/-/config/replace' };
+    const options = { host: this.pickHost(), port: this.port, method: 'POST', path: '/-/config/replace' };
     const result = await call({ ...options, timeout: 1_500 }, configurationText(version));
     if (result.status === 200) {
-      this.book.acknowledge(version);
+      this.checker.recordAcknowledgedVersion(version);
     }
     return result.status === 200;
   }
 
-  /** Orders the evacuation of a data centre to begin or to finish; true where it was acknowledged. */
-  async orderDataCentre(dataCentre: string, order: 'begin' | 'finish'): Promise<boolean> {
-    const path = `${platform.names.systemPaths.dataCentres}${dataCentre}/${order}`;
+  /** Starts or finishes the evacuation of a data centre; true if the command was acknowledged. */
+  async orderDataCentre(dataCentre: string, action: 'begin' | 'finish'): Promise<boolean> {
+    const path = `${platform.names.systemPaths.dataCentres}${dataCentre}/${action}`;
     const result = await call(
-      { host: this.host(), port: this.port, method: 'POST', path, timeout: 1_500 },
+      { host: this.pickHost(), port: this.port, method: 'POST', path, timeout: 1_500 },
       '',
     );
     return result.status === 200;
   }
 
-  /** Reads the configuration once; true where there was an answer. */
-  async read(): Promise<boolean> {
-    const before = this.book.newest;
-    const options = { host: this.host(), port: this.port, method: 'GET', path: '/-/config/fetch' };
+  /** Reads the configuration; true if a complete answer was received. */
+  async readConfiguration(): Promise<boolean> {
+    const acknowledgedBefore = this.checker.newestAcknowledgedVersion;
+    const options = { host: this.pickHost(), port: this.port, method: 'GET', path: '/-/config/fetch' };
     const result = await call({ ...options, timeout: 1_500 }, '');
-    if (result.status !== 200 || !result.whole) {
+    if (result.status !== 200 || !result.complete) {
       return false;
     }
-    this.book.read((JSON.parse(result.body) as { version: number }).version, before);
+    this.checker.recordRead((JSON.parse(result.body) as { version: number }).version, acknowledgedBefore);
     return true;
   }
 
   async run(): Promise<void> {
     while (!this.stopped) {
-      await (this.random.next() < 0.4 ? this.replace() : this.read());
-      await pause.of(150);
+      await (this.random.next() < 0.4 ? this.replaceConfiguration() : this.readConfiguration());
+      await sleep.forMilliseconds(150);
     }
   }
 
--- /dev/null
+++ b/packages/soak/src/crashingService.ts
@@ -0,0 +1,144 @@
+/**
+ * A service whose instances crash on one particular request, and a caller that keeps sending it; checks that entries
+ * quarantine the request.
+ */
+import type * as kumquatfront from 'kumquatfront';
+import * as platform from 'kumquatfront-platform';
+
+import * as clients from './clients.js';
+import type * as invariantChecker from './invariantChecker.js';
+import * as sleep from './sleep.js';
+import * as stubInstance from './stubInstance.js';
+
+/** Path of the request that crashes its instance. */
+const CRASHING_REQUEST_PATH = '/fragile/killer';
+
+const INSTANCE_COUNT = 4;
+
+/** Time from the start of the request to the crash, and from the crash to the restart under another identity. */
+const CRASH_DELAY_MS = 15;
+const RESTART_DELAY_MS = 2_000;
+
+const REQUEST_INTERVAL_MS = 400;
+
+/** Crashes after which no entry may forward the request, and the time for all entries to receive the crash records. */
+const CRASHES_BEFORE_QUARANTINE = 3;
+const PROPAGATION_LIMIT_MS = 3_000;
+
+/** Dependencies of the crashing service and its caller. */
+export interface CrashingServiceOptions {
+  readonly entries: readonly string[];
+  readonly callerPort: number;
+  readonly instancePort: number;
+  readonly controlAddresses: () => readonly string[];
+  readonly checker: invariantChecker.InvariantChecker;
+  /** A separate generator, so that the caller does not change the random sequence of the rest of the run. */
+  readonly random: kumquatfront.ports.Random;
+}
+
+/** The crashing service and its caller. */
+export class CrashingService {
+  /** Number of crashing requests that reached an instance. */
+  arrivals = 0;
+  crashes = 0;
+  private readonly options: CrashingServiceOptions;
+  private readonly instances = new Map<number, stubInstance.StubInstance>();
+  private stopped = false;
+
+  constructor(options: CrashingServiceOptions) {
+    this.options = options;
+    for (let index = 1; index <= INSTANCE_COUNT; index += 1) {
+      this.startInstance(index, 1);
+    }
+    void this.sendUntilStopped();
+  }
+
+  private startInstance(index: number, incarnation: number): void {
+    if (this.stopped) {
+      return;
+    }
+    const { instancePort, controlAddresses, checker } = this.options;
+    const address = `127.0.25.${30 + index}:${instancePort}`;
+    const identity = `fragile-${index}-${incarnation}`;
+    const dataCentre = 'b';
+    const options = {
+      ...{ identity, service: 'fragile' as const, dataCentre, listenAddress: address },
+      ...{ advertisedAddress: address, controlAddresses, checker },
+    };
+    const onRequestStart = (path: string): void => {
+      if (path === CRASHING_REQUEST_PATH) {
+        this.arrivals += 1;
+        setTimeout(() => {
+          this.crash(index, incarnation);
+        }, CRASH_DELAY_MS);
+      }
+    };
+    this.instances.set(index, new stubInstance.StubInstance({ ...options, onRequestStart }));
+  }
+
+  private crash(index: number, incarnation: number): void {
+    const instance = this.instances.get(index);
+    if (instance?.identity !== `fragile-${index}-${incarnation}`) {
+      return;
+    }
+    this.crashes += 1;
+    this.instances.delete(index);
+    instance.close();
+    setTimeout(() => {
+      this.startInstance(index, incarnation + 1);
+    }, RESTART_DELAY_MS);
+  }
+
+  private async sendCrashingRequest(host: string): Promise<clients.CallResult> {
+    const { callerPort, random } = this.options;
+    const headers = {
+      Host: 'soak.example',
+      [platform.names.headers.attempt]: random.identity(),
+      [platform.names.headers.timeLeft]: '1500',
+      Authorization: 'Token key',
+    };
+    return clients.call({ host, port: callerPort, path: CRASHING_REQUEST_PATH, headers }, '');
+  }
+
+  private async sendUntilStopped(): Promise<void> {
+    const { entries, random } = this.options;
+    while (!this.stopped) {
+      await this.sendCrashingRequest(entries[Math.floor(random.next() * entries.length)] ?? '');
+      await sleep.forMilliseconds(REQUEST_INTERVAL_MS);
+    }
+  }
+
+  /** Checks that after three crashes and the propagation time no entry forwards the request. */
+  async checkQuarantine(): Promise<void> {
+    const { entries, checker } = this.options;
+    const endsAt = Date.now() + 20_000;
+    while (this.crashes < CRASHES_BEFORE_QUARANTINE && Date.now() < endsAt) {
+      await sleep.forMilliseconds(REQUEST_INTERVAL_MS);
+    }
+    await sleep.forMilliseconds(PROPAGATION_LIMIT_MS);
+    const before = this.arrivals;
+    const answers = await Promise.all(entries.map((host) => this.sendCrashingRequest(host)));
+    await sleep.forMilliseconds(REQUEST_INTERVAL_MS);
+    if (this.crashes < CRASHES_BEFORE_QUARANTINE) {
+      checker.violations.push(`only ${this.crashes} instances crashed on the crashing request`);
+    }
+    if (this.arrivals > before) {
+      checker.violations.push(
+        `the crashing request was forwarded ${this.arrivals - before} times after ${this.crashes} crashes`,
+      );
+    }
+    const statuses = answers.map(({ status }) => status);
+    if (statuses.some((status) => status !== 503)) {
+      checker.violations.push(
+        `the crashing request was answered ${statuses.join(' ')}, expected 503 from every entry`,
+      );
+    }
+  }
+
+  stop(): void {
+    this.stopped = true;
+    for (const instance of this.instances.values()) {
+      instance.close();
+    }
+  }
+}
--- a/packages/soak/src/portDraw.ts
+++ b/packages/soak/src/freePorts.ts
@@ -1,5 +1,5 @@
 /**
- * Free ports for the programs of a run.
+ * Allocates free TCP ports for the processes of a soak run.
  */
 import * as net from 'node:net';
 
@@ -12,19 +12,19 @@
 }
 
 /**
- * Draws ports that nobody listens on, all different.
+ * Allocates distinct ports that no process listens on.
  *
- * All of them are held until the last is drawn. Drawn one after the other, two in a thousand sets of six held the same
- * port twice; a program of such a run ends at its start, as its address is in use.
+ * All sockets stay open until the last port is known: the kernel may otherwise hand out a port twice, and a process
+ * fails to start because its address is in use.
  *
- * @param count - how many
+ * @param count - number of ports
  * @returns the ports
  * @example
  * ```ts
- * const [caller, metrics] = await portDraw.draw(2);
+ * const [caller, metrics] = await freePorts.allocate(2);
  * ```
  */
-export async function draw(count: number): Promise<readonly number[]> {
+export async function allocate(count: number): Promise<readonly number[]> {
   const servers = Array.from({ length: count }, () => net.createServer());
   await Promise.all(
     servers.map((server) => new Promise<void>((resolve) => server.listen(0, '0.0.0.0', resolve))),
--- a/packages/soak/src/index.ts
+++ b/packages/soak/src/index.ts
@@ -1,2 +1,2 @@
-/** The soak of real processes, for programs that play runs of their own. */
+/** Randomized soak test of the real processes, for programs that start runs themselves. */
 export * as soakRun from './soakRun.js';
--- a/packages/soak/src/knownSeeds.ts
+++ b/packages/soak/src/knownSeeds.ts
@@ -1,8 +1,8 @@
 /**
- * Seeds that failed once, each with the cause that was found; `npm run soak:processes -- --known` plays them.
+ * Seeds of past failures with their causes; `npm run soak:processes -- --known` runs them as regression tests.
  */
 
-/** A seed with what it showed. */
+/** A seed and the cause of its failure. */
 export interface KnownSeed {
   readonly seed: number;
   readonly cause: string;
@@ -14,7 +14,7 @@
   'two programs of the run were given the same port, and one ended at its start: the address was in use';
 const SECOND_DISK = 'the soak took a second disk before the first replica was repaired';
 
-/** Every seed that ever failed for a cause in the programs or in the soak. */
+/** All seeds that failed because of a fault in the processes or in the soak itself. */
 export const knownSeeds: readonly KnownSeed[] = [
   { seed: 1, cause: NO_HANDLER },
   { seed: 4, cause: SECOND_DISK },
--- a/packages/soak/src/loopbackProxy.ts
+++ b/packages/soak/src/loopbackProxy.ts
@@ -1,27 +1,27 @@
 /**
- * A TCP proxy on a loopback address that delays, cuts, silences and resets what goes through it.
+ * TCP proxy on a loopback address that can delay, drop, refuse and reset the traffic that passes through it.
  */
 import * as net from 'node:net';
 
-/** What the proxy does to its connections. `forwardOnly` and `backwardOnly` lose the other direction. */
-export type LinkState = 'sound' | 'delayed' | 'silent' | 'forwardOnly' | 'backwardOnly' | 'refused';
+/** Fault applied to the connections. `forwardOnly` and `backwardOnly` drop the opposite direction. */
+export type LinkState = 'healthy' | 'delayed' | 'silent' | 'forwardOnly' | 'backwardOnly' | 'refused';
 
 const DELAY_MS = 60;
 
-interface Pair {
+interface ProxiedConnection {
   readonly inbound: net.Socket;
   readonly outbound: net.Socket;
 }
 
-/** One proxied address; see the module comment. */
+/** Proxies one address and injects network faults. */
 export class LoopbackProxy {
-  state: LinkState = 'sound';
+  state: LinkState = 'healthy';
   private readonly server: net.Server;
-  private readonly pairs = new Set<Pair>();
+  private readonly connections = new Set<ProxiedConnection>();
 
   /**
-   * @param from - where it listens: `ip:port`
-   * @param to - where it connects to: `ip:port`
+   * @param from - address to listen on, `ip:port`
+   * @param to - address to connect to, `ip:port`
    */
   constructor(from: string, to: string) {
     const [host = '', port = ''] = to.split(':');
@@ -31,40 +31,40 @@
         return;
       }
       const outbound = net.connect({ host, port: Number(port), allowHalfOpen: true });
-      this.join({ inbound, outbound });
+      this.connect({ inbound, outbound });
     });
     const [fromHost = '', fromPort = ''] = from.split(':');
     this.server.listen(Number(fromPort), fromHost);
   }
 
-  private join(pair: Pair): void {
-    const { inbound, outbound } = pair;
-    this.pairs.add(pair);
-    this.pump(inbound, outbound, 'forwardOnly');
-    this.pump(outbound, inbound, 'backwardOnly');
+  private connect(connection: ProxiedConnection): void {
+    const { inbound, outbound } = connection;
+    this.connections.add(connection);
+    this.forward(inbound, outbound, 'forwardOnly');
+    this.forward(outbound, inbound, 'backwardOnly');
     for (const socket of [inbound, outbound]) {
       socket.on('error', () => {
         inbound.resetAndDestroy();
         outbound.resetAndDestroy();
       });
       socket.on('close', () => {
-        this.pairs.delete(pair);
+        this.connections.delete(connection);
         inbound.destroy();
         outbound.destroy();
       });
     }
   }
 
-  private pump(from: net.Socket, to: net.Socket, direction: 'forwardOnly' | 'backwardOnly'): void {
-    // TCP never loses bytes in the middle: a direction that lost some stays silent until its connection closes.
-    let lost = false;
-    // Nor does it reorder them: one timer at a time, so that none overtakes another.
+  private forward(from: net.Socket, to: net.Socket, direction: 'forwardOnly' | 'backwardOnly'): void {
+    // TCP never drops bytes mid-stream: once a direction has lost data, it forwards nothing until the connection closes.
+    let lostData = false;
+    // A single timer at a time keeps delayed chunks in order.
     const queue: { readonly at: number; readonly run: () => void }[] = [];
-    const serve = (): void => {
+    const runDue = (): void => {
       for (let head = queue[0]; head !== undefined; head = queue[0]) {
-        const left = head.at - performance.now();
-        if (left > 0) {
-          setTimeout(serve, Math.ceil(left));
+        const remaining = head.at - performance.now();
+        if (remaining > 0) {
+          setTimeout(runDue, Math.ceil(remaining));
           return;
         }
         queue.shift();
@@ -75,40 +75,40 @@
       const at = performance.now() + (this.state === 'delayed' ? DELAY_MS : 0);
       queue.push({ at, run });
       if (queue.length === 1) {
-        serve();
+        runDue();
       }
     };
     from.on('data', (bytes: Buffer) => {
       const oneWay = this.state === 'forwardOnly' || this.state === 'backwardOnly';
-      lost = lost || this.state === 'silent' || (oneWay && this.state !== direction);
-      if (lost) {
+      lostData = lostData || this.state === 'silent' || (oneWay && this.state !== direction);
+      if (lostData) {
         return;
       }
-      const pass = (): void => {
+      const write = (): void => {
         if (to.writable) {
           to.write(bytes);
         }
       };
-      afterDelay(pass);
+      afterDelay(write);
     });
     from.on('end', () => {
-      if (!lost) {
+      if (!lostData) {
         afterDelay(() => to.end());
       }
     });
   }
 
-  /** Resets every open connection; new ones work. */
+  /** Resets all open connections; new connections are accepted. */
   reset(): void {
-    for (const { inbound, outbound } of [...this.pairs]) {
+    for (const { inbound, outbound } of [...this.connections]) {
       inbound.resetAndDestroy();
       outbound.resetAndDestroy();
     }
   }
 
-  /** New connections work again; those that went silent stay so, as on a network that forgot them. */
+  /** Forwards new connections again; connections that have lost data stay silent until they close. */
   heal(): void {
-    this.state = 'sound';
+    this.state = 'healthy';
   }
 
   close(): void {
--- a/packages/soak/src/soakRun.ts
+++ b/packages/soak/src/soakRun.ts
@@ -1,6 +1,6 @@
 /**
- * One seeded run: real processes, clients and an operator, faults in series and overlapping, then quiet, in which
- * everything must work again.
+ * Runs one seeded soak: real processes, clients and an operator under sequential and overlapping faults, followed by a
+ * phase without faults in which the system must recover.
  */
 import * as fs from 'node:fs';
 import * as os from 'node:os';
@@ -10,109 +10,117 @@
 
 import * as backPressure from './backPressure.js';
 import * as clients from './clients.js';
-import * as evacuation from './evacuation.js';
-import * as fragileRunners from './fragileRunners.js';
-import * as ledger from './ledger.js';
+import * as evacuationCheck from './evacuationCheck.js';
+import * as crashingService from './crashingService.js';
+import * as invariantChecker from './invariantChecker.js';
 import type * as loopbackProxy from './loopbackProxy.js';
-import * as pause from './pause.js';
-import * as portDraw from './portDraw.js';
-import * as processes from './processes.js';
-import * as runners from './runners.js';
+import * as sleep from './sleep.js';
+import * as freePorts from './freePorts.js';
+import * as supervisedProcess from './supervisedProcess.js';
+import * as stubInstance from './stubInstance.js';
 
-/** Size and length of a run. */
+/** Size and duration of a run. */
 export interface SoakOptions {
   readonly seed: number;
-  /** Time during which faults come. */
-  readonly troubleSeconds: number;
+  /** Duration of the fault phase. */
+  readonly faultSeconds: number;
   readonly entries: number;
   readonly clients: number;
 }
 
-/** How a run ended. */
+/** Result of a run. */
 export interface SoakOutcome {
-  readonly faults: readonly string[];
-  readonly counts: ledger.Ledger['counts'];
-  readonly actions: readonly string[];
-  /** Logs of the processes, by name; for reading after a fault. */
+  readonly violations: readonly string[];
+  readonly counts: invariantChecker.InvariantChecker['counts'];
+  readonly injectedFaults: readonly string[];
+  /** Logs of the processes, by process name. */
   readonly logs: ReadonlyMap<string, string>;
 }
 
-const CONTROL = 3;
-const RUNNERS_OF_EACH = 3;
+const CONTROL_COUNT = 3;
+const INSTANCES_PER_SERVICE = 3;
 
-/** Where the runners of each service are. */
+/** Data centres of the instances of each service. */
 const DATA_CENTRES = ['a', 'b', 'c'];
-const SETTLE_LIMIT_MS = 20_000;
+const RECOVERY_TIMEOUT_MS = 20_000;
 
-/** Time in which a replica that lost its disk must be a voter again, from its kill; a part is its start. */
-const CATCH_UP_MS = 4_600;
+/** Time after its kill within which a replica that lost its disk must be a voter again. */
+const REPLICA_REPAIR_TIMEOUT_MS = 4_600;
 
-async function freePorts(): Promise<processes.Ports & { readonly runner: number }> {
-  const [peer = 0, caller = 0, ready = 0, operator = 0, registry = 0, metrics = 0, runner = 0] =
-    await portDraw.draw(7);
-  return { peer, caller, ready, operator, registry, metrics, runner };
+async function allocatePorts(): Promise<supervisedProcess.Ports & { readonly instance: number }> {
+  const [peer = 0, caller = 0, ready = 0, operator = 0, registry = 0, metrics = 0, instance = 0] =
+    await freePorts.allocate(7);
+  return { peer, caller, ready, operator, registry, metrics, instance };
 }
 
-/** A running system with everything around it. */
-class Soak {
-  readonly book = new ledger.Ledger();
-  readonly actions: string[] = [];
+/** Processes, stub instances and proxies of one run. */
+class SoakEnvironment {
+  readonly checker = new invariantChecker.InvariantChecker();
+  readonly injectedFaults: string[] = [];
   readonly random: kumquatfront.ports.Random;
-  readonly control: processes.SupervisedProcess[] = [];
-  readonly entries: processes.SupervisedProcess[] = [];
-  readonly runnerProxies: loopbackProxy.LoopbackProxy[] = [];
-  readonly runners: runners.Runner[] = [];
+  readonly control: supervisedProcess.SupervisedProcess[] = [];
+  readonly entries: supervisedProcess.SupervisedProcess[] = [];
+  readonly instanceProxies: loopbackProxy.LoopbackProxy[] = [];
+  readonly instances: stubInstance.StubInstance[] = [];
   private readonly folder: string;
 
   constructor(
     options: SoakOptions,
-    readonly ports: processes.Ports & { readonly runner: number },
+    readonly ports: supervisedProcess.Ports & { readonly instance: number },
   ) {
     this.random = kumquatfront.seededRandom.create(options.seed);
     this.folder = fs.mkdtempSync(path.join(os.tmpdir(), 'kumquatfront-soak-'));
-    const seeds = Array.from({ length: CONTROL }, (_none, index) => `127.0.22.${index + 1}`);
-    for (let index = 1; index <= CONTROL; index += 1) {
-      this.control.push(new processes.SupervisedProcess(this.folder, 'control', index, ports, seeds));
+    const seeds = Array.from({ length: CONTROL_COUNT }, (_none, index) => `127.0.22.${index + 1}`);
+    for (let index = 1; index <= CONTROL_COUNT; index += 1) {
+      this.control.push(new supervisedProcess.SupervisedProcess(this.folder, 'control', index, ports, seeds));
     }
     for (let index = 1; index <= options.entries; index += 1) {
-      this.entries.push(new processes.SupervisedProcess(this.folder, 'entry', index, ports, seeds));
+      this.entries.push(new supervisedProcess.SupervisedProcess(this.folder, 'entry', index, ports, seeds));
     }
   }
 
-  get programs(): readonly processes.SupervisedProcess[] {
+  get processes(): readonly supervisedProcess.SupervisedProcess[] {
     return [...this.control, ...this.entries];
   }
 
-  startRunners(proxyOf: (from: string, to: string) => loopbackProxy.LoopbackProxy): void {
-    const port = this.ports.runner;
+  startInstances(createProxy: (from: string, to: string) => loopbackProxy.LoopbackProxy): void {
+    const port = this.ports.instance;
     for (const [position, service] of (['app', 'llm'] as const).entries()) {
-      for (let index = 1; index <= RUNNERS_OF_EACH; index += 1) {
-        const address = `127.0.25.${position * 10 + index}:${port}`;
-        const announced = `127.0.26.${position * 10 + index}:${port}`;
-        this.runnerProxies.push(proxyOf(announced, address));
-        const control = (): readonly string[] =>
+      for (let index = 1; index <= INSTANCES_PER_SERVICE; index += 1) {
+        const listenAddress = `127.0.25.${position * 10 + index}:${port}`;
+        const advertisedAddress = `127.0.26.${position * 10 + index}:${port}`;
+        this.instanceProxies.push(createProxy(advertisedAddress, listenAddress));
+        const controlAddresses = (): readonly string[] =>
           this.control.map((program) => `${program.host}:${this.ports.operator}`);
         const identity = `${service}-${index}`;
         const dataCentre = DATA_CENTRES[index - 1] ?? 'a';
-        this.runners.push(
-          new runners.Runner({ identity, service, dataCentre, address, announced, control, book: this.book }),
+        this.instances.push(
+          new stubInstance.StubInstance({
+            identity,
+            service,
+            dataCentre,
+            listenAddress,
+            advertisedAddress,
+            controlAddresses,
+            checker: this.checker,
+          }),
         );
       }
     }
   }
 
-  pick<Item>(items: readonly Item[]): Item {
+  pickRandom<Item>(items: readonly Item[]): Item {
     const item = items[Math.floor(this.random.next() * items.length)];
     if (item === undefined) {
-      throw new Error('there is nothing to pick from');
+      throw new Error('cannot pick from an empty list');
     }
     return item;
   }
 
-  /** Does one thing to the system and undoes it after a while. */
-  async trouble(): Promise<void> {
-    const length = 200 + this.random.next() * 1_800;
-    const kind = this.pick([
+  /** Injects one random fault and reverts it after a random duration. */
+  async injectFault(): Promise<void> {
+    const duration = 200 + this.random.next() * 1_800;
+    const kind = this.pickRandom([
       'kill',
       'freeze',
       'term',
@@ -122,32 +130,32 @@
       'hup',
       'reset',
     ] as const);
-    const program = this.pick(this.programs);
-    const state = this.pick(['delayed', 'silent', 'forwardOnly', 'backwardOnly', 'refused'] as const);
-    this.actions.push(`${kind} ${program.name} ${state} ${Math.round(length)}`);
+    const target = this.pickRandom(this.processes);
+    const state = this.pickRandom(['delayed', 'silent', 'forwardOnly', 'backwardOnly', 'refused'] as const);
+    this.injectedFaults.push(`${kind} ${target.name} ${state} ${Math.round(duration)}`);
     switch (kind) {
       case 'kill':
-        program.signal('SIGKILL');
+        target.signal('SIGKILL');
         break;
       case 'freeze':
-        program.signal('SIGSTOP');
-        await pause.of(length);
-        program.signal('SIGCONT');
+        target.signal('SIGSTOP');
+        await sleep.forMilliseconds(duration);
+        target.signal('SIGCONT');
         break;
       case 'term':
-        program.signal('SIGTERM');
-        await pause.of(length);
-        program.signal('SIGKILL');
+        target.signal('SIGTERM');
+        await sleep.forMilliseconds(duration);
+        target.signal('SIGKILL');
         break;
       case 'cut':
-        program.proxy.state = state;
-        await pause.of(length);
-        program.proxy.heal();
+        target.proxy.state = state;
+        await sleep.forMilliseconds(duration);
+        target.proxy.heal();
         break;
       case 'runnerLink': {
-        const proxy = this.pick(this.runnerProxies);
+        const proxy = this.pickRandom(this.instanceProxies);
         proxy.state = state;
-        await pause.of(length);
+        await sleep.forMilliseconds(duration);
         proxy.heal();
         break;
       }
@@ -155,156 +163,161 @@
         await this.loseDisk();
         break;
       case 'hup':
-        program.signal('SIGHUP');
+        target.signal('SIGHUP');
         break;
       case 'reset':
-        program.proxy.reset();
+        target.proxy.reset();
         break;
     }
   }
 
-  private losingDisk = false;
+  private diskLossInProgress = false;
 
-  /** One disk at a time: that is what three replicas tolerate. */
+  /** Loses one disk at a time, as three replicas tolerate a single loss. */
   private async loseDisk(): Promise<void> {
-    if (this.losingDisk) {
+    if (this.diskLossInProgress) {
       return;
     }
-    this.losingDisk = true;
-    await this.untilWhole();
-    this.pick(this.control).loseDisk();
-    // The next loss may come right after the time in which a replica must be repaired.
-    await pause.of(CATCH_UP_MS);
-    await this.untilWhole();
-    this.losingDisk = false;
+    this.diskLossInProgress = true;
+    await this.waitUntilReplicasUpToDate();
+    this.pickRandom(this.control).loseDisk();
+    // The next loss may follow as soon as the repair timeout has passed.
+    await sleep.forMilliseconds(REPLICA_REPAIR_TIMEOUT_MS);
+    await this.waitUntilReplicasUpToDate();
+    this.diskLossInProgress = false;
   }
 
-  /** Waits until every control process answers a read, so that all hold what was acknowledged. */
-  private async untilWhole(): Promise<void> {
-    const endsAt = Date.now() + SETTLE_LIMIT_MS;
+  /** Waits until every control replica answers a read, and so has applied all acknowledged changes. */
+  private async waitUntilReplicasUpToDate(): Promise<void> {
+    const endsAt = Date.now() + RECOVERY_TIMEOUT_MS;
     while (Date.now() < endsAt) {
-      const answers = await Promise.all(this.control.map((program) => this.holdsNewest(program.host)));
+      const answers = await Promise.all(this.control.map((program) => this.answersReads(program.host)));
       if (answers.every((answer) => answer)) {
         return;
       }
-      await pause.of(200);
+      await sleep.forMilliseconds(200);
     }
   }
 
-  private async holdsNewest(host: string): Promise<boolean> {
+  private async answersReads(host: string): Promise<boolean> {
     const { operator } = this.ports;
     const result = await clients.call({ host, port: operator, path: '/-/config/fetch', timeout: 1_000 }, '');
     return result.status === 200;
   }
 
   async stop(): Promise<void> {
-    for (const runner of this.runners) {
-      runner.close();
+    for (const instance of this.instances) {
+      instance.close();
     }
-    for (const program of this.programs) {
+    for (const program of this.processes) {
       program.stop();
     }
-    for (const proxy of this.runnerProxies) {
+    for (const proxy of this.instanceProxies) {
       proxy.close();
     }
-    await pause.of(300);
+    await sleep.forMilliseconds(300);
     fs.rmSync(this.folder, { recursive: true, force: true });
   }
 }
 
-/** Asks until it is so; false where the limit passes. */
-async function until(holds: () => Promise<boolean>): Promise<boolean> {
-  const endsAt = Date.now() + SETTLE_LIMIT_MS;
+/** Polls a condition until it holds; false on timeout. */
+async function waitUntil(condition: () => Promise<boolean>): Promise<boolean> {
+  const endsAt = Date.now() + RECOVERY_TIMEOUT_MS;
   while (Date.now() < endsAt) {
-    if (await holds()) {
+    if (await condition()) {
       return true;
     }
-    await pause.of(150);
+    await sleep.forMilliseconds(150);
   }
   return false;
 }
 
-/** Sends calls of its own until several in a row are served. */
-async function servesAgain(soak: Soak): Promise<boolean> {
-  const before = soak.book.counts.served;
-  return until(() => Promise.resolve(soak.book.counts.served > before + 20));
+/** Waits until the clients have been served more than 20 further requests; false on timeout. */
+async function waitForServedRequests(environment: SoakEnvironment): Promise<boolean> {
+  const servedBefore = environment.checker.counts.served;
+  return waitUntil(() => Promise.resolve(environment.checker.counts.served > servedBefore + 20));
 }
 
 /**
- * Plays one run.
+ * Executes one soak run.
  *
- * @param options - seed and size
- * @param proxyOf - makes a proxy between two addresses
- * @returns faults found, with the logs
+ * @param options - seed, size and duration
+ * @param createProxy - creates a proxy between two addresses
+ * @returns the violations found, with the logs of the processes
  * @example
  * ```ts
- * const outcome = await soakRun.play({ seed: 7, troubleSeconds: 8, entries: 2, clients: 6 }, proxyOf);
+ * const outcome = await soakRun.run({ seed: 7, faultSeconds: 8, entries: 2, clients: 6 }, createProxy);
  * ```
  */
-export async function play(
+export async function run(
   options: SoakOptions,
-  proxyOf: (from: string, to: string) => loopbackProxy.LoopbackProxy,
+  createProxy: (from: string, to: string) => loopbackProxy.LoopbackProxy,
 ): Promise<SoakOutcome> {
-  const soak = new Soak(options, await freePorts());
-  soak.startRunners(proxyOf);
-  const control = soak.control.map((program) => program.host);
-  const entries = soak.entries.map((program) => program.host);
-  const operator = new clients.Operator(control, soak.ports.operator, soak.random, soak.book);
-  const { faults } = soak.book;
-  if (!(await until(() => operator.replace()))) {
-    faults.push('the first configuration was never acknowledged');
+  const environment = new SoakEnvironment(options, await allocatePorts());
+  environment.startInstances(createProxy);
+  const controlHosts = environment.control.map((program) => program.host);
+  const entryHosts = environment.entries.map((program) => program.host);
+  const operator = new clients.Operator(
+    controlHosts,
+    environment.ports.operator,
+    environment.random,
+    environment.checker,
+  );
+  const { violations } = environment.checker;
+  if (!(await waitUntil(() => operator.replaceConfiguration()))) {
+    violations.push('the first configuration was never acknowledged');
   }
-  // Entries refuse until they hold it; refusals are proper, so clients may begin at once.
+  // Entries refuse requests until they have received the configuration, which is valid, so clients may start at once.
   const callers = Array.from(
     { length: options.clients },
-    () => new clients.Client(entries, soak.ports.caller, soak.random, soak.book),
+    () => new clients.Client(entryHosts, environment.ports.caller, environment.random, environment.checker),
   );
-  if (!(await servesAgain(soak))) {
-    faults.push('nothing was served before the first trouble');
+  if (!(await waitForServedRequests(environment))) {
+    violations.push('no request was served before the fault phase');
   }
-  const fragile = new fragileRunners.FragileService({
-    entries,
-    callerPort: soak.ports.caller,
-    runnerPort: soak.ports.runner,
-    control: () => control.map((host) => `${host}:${soak.ports.operator}`),
-    book: soak.book,
+  const crashing = new crashingService.CrashingService({
+    entries: entryHosts,
+    callerPort: environment.ports.caller,
+    instancePort: environment.ports.instance,
+    controlAddresses: () => controlHosts.map((host) => `${host}:${environment.ports.operator}`),
+    checker: environment.checker,
     random: kumquatfront.seededRandom.create(options.seed + 1_000_000),
   });
-  const { book, runners: all } = soak;
-  const evacuated = new evacuation.Evacuation({ operator, book, runners: all, until });
-  await evacuated.begin();
+  const { checker, instances } = environment;
+  const evacuation = new evacuationCheck.EvacuationCheck({ operator, checker, instances, waitUntil });
+  await evacuation.begin();
   void operator.run();
-  const endsAt = Date.now() + options.troubleSeconds * 1_000;
-  const open: Promise<void>[] = [];
+  const endsAt = Date.now() + options.faultSeconds * 1_000;
+  const pendingFaults: Promise<void>[] = [];
   while (Date.now() < endsAt) {
-    open.push(soak.trouble());
-    await pause.of(200 + soak.random.next() * 900);
+    pendingFaults.push(environment.injectFault());
+    await sleep.forMilliseconds(200 + environment.random.next() * 900);
   }
-  await Promise.all(open);
+  await Promise.all(pendingFaults);
   operator.stop();
-  if (!(await until(() => operator.replace()))) {
-    faults.push('no configuration was acknowledged after the trouble');
+  if (!(await waitUntil(() => operator.replaceConfiguration()))) {
+    violations.push('no configuration was acknowledged after the fault phase');
   }
-  if (!(await until(() => operator.read()))) {
-    faults.push('no read was answered after the trouble');
+  if (!(await waitUntil(() => operator.readConfiguration()))) {
+    violations.push('no read was answered after the fault phase');
   }
-  if (!(await servesAgain(soak))) {
-    faults.push('nothing was served after the trouble');
+  if (!(await waitForServedRequests(environment))) {
+    violations.push('no request was served after the fault phase');
   }
-  await evacuated.check();
-  await backPressure.check({ book, runners: all, entryCount: entries.length, until });
-  await fragile.settle();
-  fragile.stop();
+  await evacuation.check();
+  await backPressure.check({ checker, instances, entryCount: entryHosts.length, waitUntil });
+  await crashing.checkQuarantine();
+  crashing.stop();
   for (const caller of callers) {
     caller.stop();
   }
-  await pause.of(500);
-  for (const program of soak.programs) {
-    if (program.unaskedEnds > 0) {
-      faults.push(`${program.name} ended by itself ${program.unaskedEnds} times`);
+  await sleep.forMilliseconds(500);
+  for (const program of environment.processes) {
+    if (program.unexpectedExits > 0) {
+      violations.push(`${program.name} exited unexpectedly ${program.unexpectedExits} times`);
     }
   }
-  const logs = new Map(soak.programs.map((program) => [program.name, program.log]));
-  await soak.stop();
-  return { faults, counts: soak.book.counts, actions: soak.actions, logs };
+  const logs = new Map(environment.processes.map((program) => [program.name, program.log]));
+  await environment.stop();
+  return { violations, counts: environment.checker.counts, injectedFaults: environment.injectedFaults, logs };
 }
--- a/packages/soak/src/processes.ts
+++ b/packages/soak/src/supervisedProcess.ts
@@ -1,5 +1,6 @@
 /**
- * The real programs as processes on loopback addresses of their own, each behind a proxy for its peers.
+ * Runs an entry or a control replica as a child process on its own loopback address, with a proxy in front of its peer
+ * port, and restarts it when it exits.
  */
 import * as childProcess from 'node:child_process';
 import * as fs from 'node:fs';
@@ -8,11 +9,11 @@
 
 import * as loopbackProxy from './loopbackProxy.js';
 
-const PROGRAM = url.fileURLToPath(import.meta.resolve('kumquatfront-platform/program'));
-const RESTART_MS = 150;
-const LOG_KEPT = 400_000;
+const PROGRAM_FILE = url.fileURLToPath(import.meta.resolve('kumquatfront-platform/program'));
+const RESTART_DELAY_MS = 150;
+const MAXIMUM_LOG_LENGTH = 400_000;
 
-/** Ports, the same on every address. */
+/** Ports; the same on every loopback address. */
 export interface Ports {
   readonly peer: number;
   readonly caller: number;
@@ -22,21 +23,21 @@
   readonly metrics: number;
 }
 
-/** One program that is started again whenever it ends. */
+/** A child process that is restarted whenever it exits. */
 export class SupervisedProcess {
   readonly name: string;
-  /** Where the process itself listens. */
+  /** Address that the process binds. */
   readonly host: string;
   readonly proxy: loopbackProxy.LoopbackProxy;
   log = '';
-  /** Ends that nobody asked for. */
-  unaskedEnds = 0;
-  private logAtStart = 0;
-  private later: object | undefined;
+  /** Number of exits that were not caused by a signal of the soak. */
+  unexpectedExits = 0;
+  private logLengthAtStart = 0;
+  private settingsAfterFirstStart: object | undefined;
   private child: childProcess.ChildProcess | undefined;
   private readonly settingsFile: string;
   private readonly dataFolder: string;
-  private asked = false;
+  private exitExpected = false;
   private stopped = false;
 
   constructor(
@@ -73,57 +74,57 @@
       stopGraceSeconds: 4,
       retries: { ratio: 0.2, slack: 50, windowSeconds: 10 },
     };
-    this.write(settings);
+    this.writeSettings(settings);
     this.start();
-    this.later = { ...settings, firstStart: false };
+    this.settingsAfterFirstStart = { ...settings, firstStart: false };
   }
 
-  private write(settings: object): void {
+  private writeSettings(settings: object): void {
     fs.writeFileSync(this.settingsFile, JSON.stringify(settings));
   }
 
   private start(): void {
-    const child = childProcess.spawn(process.execPath, ['--max-old-space-size=90', PROGRAM], {
+    const child = childProcess.spawn(process.execPath, ['--max-old-space-size=90', PROGRAM_FILE], {
       env: { ...process.env, KUMQUATFRONT_CONFIG: this.settingsFile },
       stdio: ['ignore', 'pipe', 'pipe'],
     });
     this.child = child;
-    this.logAtStart = this.log.length;
-    const keep = (bytes: Buffer): void => {
-      // Only the very first start founds a system; whoever starts again may only join.
-      if (this.later !== undefined && bytes.includes('event=started')) {
-        this.write(this.later);
-        this.later = undefined;
+    this.logLengthAtStart = this.log.length;
+    const appendLog = (bytes: Buffer): void => {
+      // Only the first start may bootstrap the cluster; a restarted process must join it.
+      if (this.settingsAfterFirstStart !== undefined && bytes.includes('event=started')) {
+        this.writeSettings(this.settingsAfterFirstStart);
+        this.settingsAfterFirstStart = undefined;
       }
       this.log += bytes.toString();
-      const tooLong = Math.max(0, this.log.length - LOG_KEPT);
-      this.log = this.log.slice(tooLong);
-      this.logAtStart = Math.max(0, this.logAtStart - tooLong);
+      const excess = Math.max(0, this.log.length - MAXIMUM_LOG_LENGTH);
+      this.log = this.log.slice(excess);
+      this.logLengthAtStart = Math.max(0, this.logLengthAtStart - excess);
     };
-    child.stdout.on('data', keep);
-    child.stderr.on('data', keep);
+    child.stdout.on('data', appendLog);
+    child.stderr.on('data', appendLog);
     child.on('exit', () => {
-      this.unaskedEnds += this.asked ? 0 : 1;
-      this.asked = false;
+      this.unexpectedExits += this.exitExpected ? 0 : 1;
+      this.exitExpected = false;
       if (!this.stopped) {
         setTimeout(() => {
           this.start();
-        }, RESTART_MS);
+        }, RESTART_DELAY_MS);
       }
     });
   }
 
-  /** Sends a signal to this process alone, by its id. */
+  /** Sends a signal to the child process. */
   signal(signal: NodeJS.Signals): void {
-    // Before any code of the program runs, this signal ends every process; nothing can be promised then.
-    if (signal === 'SIGHUP' && !this.log.slice(this.logAtStart).includes('event=started')) {
+    // Until the program installs its handler, SIGHUP terminates the process by default.
+    if (signal === 'SIGHUP' && !this.log.slice(this.logLengthAtStart).includes('event=started')) {
       return;
     }
-    this.asked = this.asked || signal === 'SIGKILL' || signal === 'SIGTERM';
+    this.exitExpected = this.exitExpected || signal === 'SIGKILL' || signal === 'SIGTERM';
     this.child?.kill(signal);
   }
 
-  /** Loses its disk: killed, and its folder is empty when it starts again. */
+  /** Simulates a disk loss: kills the process and deletes its data folder before the restart. */
   loseDisk(): void {
     this.signal('SIGKILL');
     fs.rmSync(this.dataFolder, { recursive: true, force: true });
--- a/scripts/bundle.js
+++ b/scripts/bundle.js
@@ -1,6 +1,6 @@
 /**
- * Bundles the platform's program into one file, which starts several times as fast as some hundred modules,
- * and keeps its compiled code beside it, which saves a process most of the rest of its start.
+ * Bundles the platform's program into one file and stores its compiled code next to it, to shorten the start of a
+ * process.
  */
 import * as childProcess from 'node:child_process';
 import * as path from 'node:path';
@@ -8,8 +8,8 @@
 import * as esbuild from 'esbuild';
 
 /**
- * `ts-results` is a CommonJS package whose files find each other in a way that a bundler cannot follow. Its
- * modules proper stand beside it; they are given the default export by which Node.js shows the package.
+ * Resolves `ts-results` to its ES modules: the bundler cannot follow the requires of its CommonJS files. The default
+ * export is the one that Node.js gives to a CommonJS package.
  */
 const tsResultsPlugin = {
   name: 'ts-results',
--- a/scripts/generateSettings.js
+++ b/scripts/generateSettings.js
@@ -1,5 +1,6 @@
 /**
- * Generates the typed settings from their schema; the result is committed, so a build needs no generator.
+ * Generates the settings types, the embedded schema and docs/settings.md from the JSON schema. The results are committed,
+ * so that a build does not run the generator.
  */
 import * as fs from 'node:fs';
 
@@ -17,7 +18,7 @@
 });
 fs.writeFileSync(TARGET, text);
 
-/** Puts objects without inner objects on one line, so that the file stays short enough to read. */
+/** Formats objects without nested objects on one line. */
 function inlineLeaves(text) {
   return text.replace(/\{\s+([^{}]*?)\s+\}/g, (_whole, inner) => `{ ${inner.replace(/\s+/g, ' ')} }`);
 }
@@ -29,7 +30,7 @@
 /** JSON schema of the settings. */\nexport const settingsSchema = ${schema};\n`,
 );
 
-/** Rows of docs/settings.md for one object of the schema. */
+/** Table rows of docs/settings.md for one object of the schema. */
 function rowsOf(definition, definitions, prefix) {
   return Object.entries(definition.properties).flatMap(([key, property]) => {
     const name = prefix === '' ? key : `${prefix}.${key}`;
--- a/scripts/knownRed.js
+++ b/scripts/knownRed.js
@@ -1,20 +1,20 @@
 /**
- * The list of tests that fail for a real fault which is not mended yet: KNOWN-RED.txt.
+ * Parses KNOWN-RED.txt, the list of tests that fail because of a known defect, and compares a test run with it.
  *
- * Each entry is a block of `key: value` lines, ended by an empty line: `test` (file and name, with ` > ` between),
- * `command` with its seed, `seen`, and `issue`. The test run passes over just these, and fails where one of them
- * passes: a mended fault comes off the list.
+ * Each entry is a block of `key: value` lines, terminated by an empty line: `test` (file and name, separated by ` > `),
+ * `command` with its seed, `seen`, and `issue`. The test run tolerates the failure of exactly these tests, and fails if
+ * one of them passes, so that entries of fixed defects are removed.
  */
 
-/** More known faults than this are a backlog, not a list. */
-const MOST_ENTRIES = 3;
+/** Limits the number of failing tests that may be tolerated at once. */
+const MAXIMUM_ENTRIES = 3;
 
 const KEYS = ['test', 'command', 'seen', 'issue'];
 
 /**
- * Reads the list.
+ * Parses the list.
  *
- * @param {string} text - content of the file
+ * @param {string} text - content of KNOWN-RED.txt
  * @returns {{ test: string, command: string, seen: string, issue: string }[]} the entries
  * @example
  * parse('test: a.spec.js > b\ncommand: npm test\nseen: red\nissue: 1\n');
@@ -24,8 +24,10 @@
     .split(/\n\s*\n/)
     .map((block) => block.split('\n').filter((line) => line.trim() !== '' && !line.startsWith('#')))
     .filter((lines) => lines.length > 0);
-  if (blocks.length > MOST_ENTRIES) {
-    throw new Error(`KNOWN-RED.txt has ${blocks.length} entries; mend some, ${MOST_ENTRIES} are the most.`);
+  if (blocks.length > MAXIMUM_ENTRIES) {
+    throw new Error(
+      `KNOWN-RED.txt has ${blocks.length} entries; fix some first, ${MAXIMUM_ENTRIES} is the maximum.`,
+    );
   }
   return blocks.map(parseBlock);
 }
@@ -35,26 +37,28 @@
   for (const line of lines) {
     const [, key, value] = /^(\w+): (.+)$/.exec(line) ?? [];
     if (!KEYS.includes(key)) {
-      throw new Error(`KNOWN-RED.txt: "${line}" is no line of an entry; write one of ${KEYS.join(', ')}.`);
+      throw new Error(
+        `KNOWN-RED.txt: invalid line "${line}"; expected a value for one of ${KEYS.join(', ')}.`,
+      );
     }
     entry[key] = value;
   }
   for (const key of KEYS) {
     if (entry[key] === undefined) {
-      throw new Error(`KNOWN-RED.txt: an entry lacks "${key}"; add it.`);
+      throw new Error(`KNOWN-RED.txt: an entry has no "${key}"; add it.`);
     }
   }
   return entry;
 }
 
 /**
- * Judges a run against the list.
+ * Compares the results of a test run with the list.
  *
  * @param {string[]} failed - tests that failed, as `file > name`
  * @param {string[]} passed - tests that passed
  * @param {{ test: string }[]} known - entries of the list
  * @returns {{ unknown: string[], mended: string[], missing: string[] }} failures that are not listed, entries whose
- *   test passes, entries whose test did not run
+ *   test passed, entries whose test did not run
  * @example
  * judge(['a.spec.js > b'], [], []).unknown; // ['a.spec.js > b']
  */
--- a/scripts/runTests.js
+++ b/scripts/runTests.js
@@ -1,5 +1,5 @@
 /**
- * `npm test`: runs every spec, prints what is known to be red, and fails for any other failure.
+ * `npm test`: runs every spec, prints the known failures of KNOWN-RED.txt, and fails on any other failure.
  */
 import * as fs from 'node:fs';
 import * as path from 'node:path';
@@ -8,40 +8,45 @@
 
 import * as knownRed from './knownRed.js';
 
-/** The longest time that one test may take, in milliseconds: four times the soak, the longest one there is. */
-const TEST_TIMEOUT = 240_000;
+/** Time limit of one test in milliseconds; leaves a margin over the soak, the longest test. */
+const TEST_TIMEOUT_MS = 240_000;
 
 const ROOT = new URL('..', import.meta.url).pathname;
-const LIST = path.join(ROOT, 'KNOWN-RED.txt');
+const KNOWN_RED_FILE = path.join(ROOT, 'KNOWN-RED.txt');
 
-function specsBelow(folder) {
+function findSpecs(folder) {
   const found = fs.readdirSync(path.join(ROOT, folder), { recursive: true, encoding: 'utf8' });
   return found.filter((file) => file.endsWith('.spec.js')).map((file) => path.join(ROOT, folder, file));
 }
 
-function builtFolders(parent) {
+function findBuildFolders(parent) {
   return fs
     .readdirSync(path.join(ROOT, parent))
     .map((name) => path.join(parent, name, 'dist'))
     .filter((folder) => fs.existsSync(path.join(ROOT, folder)));
 }
 
-function nameOf(event) {
+function testName(event) {
   return `${path.relative(ROOT, event.file ?? '')} > ${event.name}`;
 }
 
-const known = fs.existsSync(LIST) ? knownRed.parse(fs.readFileSync(LIST, 'utf8')) : [];
-const folders = ['scripts', ...builtFolders('packages'), ...builtFolders('examples'), 'platform/dist'];
-const files = folders.flatMap(specsBelow).sort();
+const known = fs.existsSync(KNOWN_RED_FILE) ? knownRed.parse(fs.readFileSync(KNOWN_RED_FILE, 'utf8')) : [];
+const folders = [
+  'scripts',
+  ...findBuildFolders('packages'),
+  ...findBuildFolders('examples'),
+  'platform/dist',
+];
+const files = folders.flatMap(findSpecs).sort();
 const failed = [];
 const passed = [];
 
-const stream = nodeTest.run({ files, concurrency: true, timeout: TEST_TIMEOUT });
+const stream = nodeTest.run({ files, concurrency: true, timeout: TEST_TIMEOUT_MS });
 stream.on('test:fail', (event) => {
-  failed.push(nameOf(event));
+  failed.push(testName(event));
 });
 stream.on('test:pass', (event) => {
-  passed.push(nameOf(event));
+  passed.push(testName(event));
 });
 stream.on('end', () => {
   const { unknown, mended, missing } = knownRed.judge(failed, passed, known);
@@ -49,10 +54,10 @@
     process.stdout.write(`known red: ${test}: ${seen} (issue ${issue})\n`);
   }
   for (const test of mended) {
-    process.stdout.write(`mended, take it off KNOWN-RED.txt: ${test}\n`);
+    process.stdout.write(`passes now, remove it from KNOWN-RED.txt: ${test}\n`);
   }
   for (const test of missing) {
-    process.stdout.write(`listed in KNOWN-RED.txt, but there is no such test: ${test}\n`);
+    process.stdout.write(`listed in KNOWN-RED.txt, but did not run: ${test}\n`);
   }
   for (const test of unknown) {
     process.stdout.write(`failed: ${test}\n`);
