--- a/packages/demo/src/controlProcesses.spec.ts
+++ b/packages/demo/src/controlProcesses.spec.ts
@@ -112,9 +112,9 @@
 }
 
 async function kill(member: cluster.Member): Promise<void> {
-  const gone = new Promise((resolve) => member.child.once('exit', resolve));
+  const exited = new Promise((resolve) => member.child.once('exit', resolve));
   member.child.kill('SIGKILL');
-  await gone;
+  await exited;
 }
 
 // Guards against the loss of accepted changes when the leader is killed during writes and restarted on its data folder.
--- a/packages/demo/src/demo.ts
+++ b/packages/demo/src/demo.ts
@@ -61,13 +61,13 @@
       printLine(`      violation: ${violation}`);
     }
   }
-  const { urgentStalls, betweenTokens } = measurements;
+  const { urgentLatencies, interTokenLatencies } = measurements;
   printLine('');
   printLine(
-    `  stall of urgent calls:  p50 ${quantile(urgentStalls, 0.5)}, p99 ${quantile(urgentStalls, 0.99)}, max ${quantile(urgentStalls, 1)}`,
+    `  urgent call latency:    p50 ${quantile(urgentLatencies, 0.5)}, p99 ${quantile(urgentLatencies, 0.99)}, max ${quantile(urgentLatencies, 1)}`,
   );
   printLine(
-    `  between tokens:         p50 ${quantile(betweenTokens, 0.5)}, p99 ${quantile(betweenTokens, 0.99)}, max ${quantile(betweenTokens, 1)}`,
+    `  inter-token latency:    p50 ${quantile(interTokenLatencies, 0.5)}, p99 ${quantile(interTokenLatencies, 0.99)}, max ${quantile(interTokenLatencies, 1)}`,
   );
 }
 
--- a/packages/demo/src/operators.spec.ts
+++ b/packages/demo/src/operators.spec.ts
@@ -126,13 +126,13 @@
   const run = await runCommand(undefined, 'check', 'settings', file);
   assert.equal(run.status, 1);
   assert.match(run.errors, /Add the key|Remove the key/);
-  const sound = await runCommand(
+  const valid = await runCommand(
     undefined,
     'check',
     'settings',
     path.join(WORKSPACE, 'examples/tuckshopLedger/entry-1.json'),
   );
-  assert.equal(sound.status, 0, sound.errors);
+  assert.equal(valid.status, 0, valid.errors);
   fs.rmSync(folder, { recursive: true });
 });
 
--- a/packages/demo/src/traffic.ts
+++ b/packages/demo/src/traffic.ts
@@ -17,8 +17,8 @@
 
 /** Measurements over all callers, in milliseconds. */
 export interface TrafficMeasurements {
-  readonly urgentStalls: number[];
-  readonly betweenTokens: number[];
+  readonly urgentLatencies: number[];
+  readonly interTokenLatencies: number[];
 }
 
 const TOKEN_PATTERN = /^(\S+)#(\d+) $/;
@@ -26,7 +26,7 @@
 
 /** Callers of one deployment, each with a key and labels. */
 export class Traffic {
-  readonly measurements: TrafficMeasurements = { urgentStalls: [], betweenTokens: [] };
+  readonly measurements: TrafficMeasurements = { urgentLatencies: [], interTokenLatencies: [] };
   private readonly entries: readonly string[];
   private readonly deployment: deployments.Deployment;
   private readonly clients: kumquatfront.callerClient.CallerClient[] = [];
@@ -67,7 +67,7 @@
         received.push({ generation, index: Number(index) });
         const at = this.now();
         if (lastAt !== undefined) {
-          this.measurements.betweenTokens.push(at - lastAt);
+          this.measurements.interTokenLatencies.push(at - lastAt);
         }
         lastAt = at;
       },
@@ -115,7 +115,7 @@
       const result = await client.stream('/v1/completions', body, {
         onToken: () => {
           if (tokens === 0 && label === 'traffic=question') {
-            this.measurements.urgentStalls.push(this.now() - startedAt);
+            this.measurements.urgentLatencies.push(this.now() - startedAt);
           }
           tokens += 1;
         },
@@ -151,7 +151,7 @@
       const path = `${readPath}/${sent}`;
       const startedAt = this.now();
       const result = await client.call(name, 'GET', path, '');
-      this.measurements.urgentStalls.push(this.now() - startedAt);
+      this.measurements.urgentLatencies.push(this.now() - startedAt);
       if (result.ok && (JSON.parse(result.val.body) as { path: string }).path === path) {
         complete += 1;
       } else {
