--- a/packages/soak/src/clients.ts
+++ b/packages/soak/src/clients.ts
@@ -24,7 +24,7 @@
  *
  * @param options - request options of `node:http`
  * @param body - request body
- * @returns the result; never rejects
+ * @returns the result; a network error or timeout gives an incomplete result, not a rejection
  * @example
  * ```ts
  * const result = await clients.call({ host: '127.0.23.1', port: 8740, path: '/lookUp/x' }, '');
