--- a/examples/embed/src/embed.ts
+++ b/examples/embed/src/embed.ts
@@ -22,19 +22,19 @@
     },
     ...{ dataCentre: 'here', memoryTokens: 4_000, slots: 4, lease: 60_000, leaving: false },
   };
-  table.announce(announcement, 0, timers.now());
+  table.applyAnnouncement(announcement, 0, timers.now());
 }
 
 const placement = new kumquatfront.localPlacement.LocalPlacement({
-  directory: { table, onNews: ignore, onGone: ignore },
+  directory: { table, onUpdate: ignore, onUpstreamExpired: ignore },
   estimator: new kumquatfront.lengthEstimator.LengthEstimator(),
-  health: new kumquatfront.health.Health(),
+  outlierDetector: new kumquatfront.outlierDetector.OutlierDetector(),
   timers,
   random: kumquatfront.seededRandom.create(1),
-  metrics: kumquatfront.statsdMetrics.silent,
-  choose: kumquatfront.choice.chooseOfTwo,
+  metrics: kumquatfront.statsdMetrics.noop,
+  selectUpstream: kumquatfront.balancingPolicy.powerOfTwoChoices,
   headroom: kumquatfront.headroom.defaultSettings,
-  bounds: () => ({ perAccount: 10, total: 40 }),
+  queueBounds: () => ({ perAccount: 10, total: 40 }),
   weightOf: () => 1,
   upstreamWait: 1_000,
 });
@@ -56,7 +56,7 @@
     const where = answer.type === 'granted' ? answer.upstream.announcement.name : answer.refusal.reason;
     process.stdout.write(`${requestId}: ${where}\n`);
     // The transport executes the request here and reports the output length to the policy.
-    placement.finished(requestId, 250, true);
+    placement.onFinished(requestId, 250, true);
   });
 }
 timers.stop();
--- a/packages/benchmarks/src/fleet/fleetRun.ts
+++ b/packages/benchmarks/src/fleet/fleetRun.ts
@@ -12,7 +12,7 @@
 /** Options of a simulation; times in milliseconds. */
 export interface FleetRunOptions extends fleetEngines.FleetEngineOptions {
   /** Placement features in use; all of them if absent. */
-  readonly isEnabled?: kumquatfront.mechanisms.IsOn;
+  readonly isEnabled?: kumquatfront.placementFeatures.IsEnabled;
   readonly seed: number;
   readonly duration: number;
   readonly classes: readonly fleetWorkload.GenerationClass[];
@@ -31,7 +31,7 @@
 
 interface RunningGeneration {
   readonly request: fleetWorkload.GenerationRequest;
-  readonly attributes: kumquatfront.placementTypes.GenerationFacts;
+  readonly attributes: kumquatfront.placementTypes.GenerationAttributes;
   engine: fleetEngines.FleetEngine;
   firstEventAt: number | undefined;
   lastEventAt: number;
@@ -69,7 +69,7 @@
       time,
       kumquatfront.seededRandom.create(options.seed + 1_000),
       () => {
-        this.coordinator.instancesChanged();
+        this.coordinator.handleInstancesChanged();
       },
       (engine) => {
         this.loseGenerationsOn(engine);
@@ -98,8 +98,8 @@
       warmUpTolerance: kumquatfront.warmUpBounds.strictTolerance,
       isEvacuated: () => false,
       serviceOf: () => service,
-      entries: () => ['e'],
-      ...(options.isEnabled !== undefined && { isOn: options.isEnabled }),
+      entryNames: () => ['e'],
+      ...(options.isEnabled !== undefined && { isEnabled: options.isEnabled }),
       move: (_address, command, done) => {
         this.move(command, done);
       },
@@ -154,7 +154,7 @@
     const { kind, firstRequestedAt } = request;
     const now = this.time.now();
     const timeLeft = firstRequestedAt + kind.deadline - now;
-    const attributes: kumquatfront.placementTypes.GenerationFacts = {
+    const attributes: kumquatfront.placementTypes.GenerationAttributes = {
       identity: `${request.identity}/${attempt}`,
       service: SERVICE,
       promptTokens: request.promptTokens,
@@ -163,7 +163,7 @@
       rank: kind.rank,
       account: '',
     };
-    const maximumWait = kumquatfront.waitingRules.longestWait(kind.objective, timeLeft, kind.rank);
+    const maximumWait = kumquatfront.waitLimits.maximumWait(kind.objective, timeLeft, kind.rank);
     const { objective } = kind;
     const common = {
       facts: attributes,
@@ -174,7 +174,7 @@
       patience: maximumWait,
     };
     const placementRequest = { ...common, likeness: request.identity, objectiveLeft: objective };
-    this.coordinator.place(placementRequest, (answer) => {
+    this.coordinator.requestPlacement(placementRequest, (answer) => {
       if (answer.state === 'placed') {
         this.startGeneration(request, attributes, answer.instance);
       } else {
@@ -205,7 +205,7 @@
 
   private startGeneration(
     request: fleetWorkload.GenerationRequest,
-    attributes: kumquatfront.placementTypes.GenerationFacts,
+    attributes: kumquatfront.placementTypes.GenerationAttributes,
     instance: string,
   ): void {
     const engine = this.fleet.engines.get(instance);
@@ -327,13 +327,13 @@
     }
     const source = generation.engine;
     const copiedTokens = generation.attributes.promptTokens + generation.produced;
-    if (target?.state !== 'ready' || !target.model.hold(copiedTokens)) {
+    if (target?.state !== 'ready' || !target.model.reserveMemory(copiedTokens)) {
       finish('failed');
       return;
     }
     this.fleet.copy(source, target, copiedTokens, () => {
       if (generation.ended || source.state === 'gone') {
-        target.model.release(copiedTokens);
+        target.model.releaseMemory(copiedTokens);
         finish('ended');
         return;
       }
@@ -341,7 +341,7 @@
       source.model.cancel(generation.attributes.identity, false);
       const remainingTokens = generation.attributes.promptTokens + producedAtStop - copiedTokens;
       this.fleet.copy(source, target, remainingTokens, () => {
-        target.model.release(copiedTokens);
+        target.model.releaseMemory(copiedTokens);
         this.startOnEngine(generation, target, producedAtStop);
         finish('moved');
       });
@@ -375,7 +375,7 @@
     );
     const { sequence, finished } = this;
     this.finished = [];
-    this.coordinator.report({
+    this.coordinator.applyReport({
       ...{ entry: 'e', address: 'e:1', epoch: 'x', sequence, leaving: [], unlisted: [] },
       generations,
       finished,
--- a/packages/benchmarks/src/measureAblation.ts
+++ b/packages/benchmarks/src/measureAblation.ts
@@ -21,16 +21,16 @@
 
 function simulateAll(
   fleet: Omit<fleetRun.FleetRunOptions, 'seed'>,
-  isEnabled: kumquatfront.mechanisms.IsOn,
+  isEnabled: kumquatfront.placementFeatures.IsEnabled,
 ): readonly number[] {
   return SEEDS.map((seed) => netValue(fleetRun.simulate({ ...fleet, duration: DURATION, seed, isEnabled })));
 }
 
 for (const [name, fleet] of Object.entries(fleetCases)) {
-  const withAllFeatures = simulateAll(fleet, kumquatfront.mechanisms.allOn);
+  const withAllFeatures = simulateAll(fleet, kumquatfront.placementFeatures.allEnabled);
   const mean = withAllFeatures.reduce((sum, value) => sum + value, 0) / withAllFeatures.length;
   process.stdout.write(`${name}: ${mean.toFixed(3)} with all features, ${SEEDS.length} seeds\n`);
-  for (const feature of kumquatfront.mechanisms.NAMES) {
+  for (const feature of kumquatfront.placementFeatures.FEATURES) {
     const withoutFeature = simulateAll(fleet, (other) => other !== feature);
     const { mean: gain, standardError } = pairedDifference.compare(withAllFeatures, withoutFeature);
     const verdict = Math.abs(gain) > 2 * standardError ? '' : ' (not significant)';
--- a/packages/benchmarks/src/measureLogging.ts
+++ b/packages/benchmarks/src/measureLogging.ts
@@ -27,7 +27,7 @@
       done(error, error === null ? written : 0);
     });
   },
-  { linesPerSecond: 10_000_000, burst: 10 * LINES_PER_BATCH, waiting: 100_000_000 },
+  { linesPerSecond: 10_000_000, burst: 10 * LINES_PER_BATCH, maximumPendingCharacters: 100_000_000 },
 );
 
 async function writeBatch(): Promise<void> {
--- a/packages/benchmarks/src/policy/baselines.ts
+++ b/packages/benchmarks/src/policy/baselines.ts
@@ -26,7 +26,7 @@
       (candidate) =>
         candidate.expiresAt > now &&
         !request.exclude.has(candidate.announcement.name) &&
-        !options.health.isEjected(candidate.announcement.name, now),
+        !options.outlierDetector.isEjected(candidate.announcement.name, now),
     );
 }
 
@@ -42,9 +42,9 @@
       done({ type: 'granted', upstream });
       return () => undefined;
     },
-    progressed: () => undefined,
-    finished: () => undefined,
-    waiting: () => 0,
+    onProgress: () => undefined,
+    onFinished: () => undefined,
+    waitingCount: () => 0,
   });
 }
 
@@ -128,7 +128,8 @@
 
   private hasFreeSlot(record: UpstreamRecord): boolean {
     const dispatchedSinceReport = [...this.dispatches.values()].filter(
-      (dispatch) => dispatch.upstream === record.announcement.name && dispatch.dispatchedAt > record.loadAt,
+      (dispatch) =>
+        dispatch.upstream === record.announcement.name && dispatch.dispatchedAt > record.loadReportedAt,
     ).length;
     return reportedLoad(record) + dispatchedSinceReport < record.announcement.slots;
   }
@@ -148,16 +149,16 @@
     }
   }
 
-  progressed(): void {
+  onProgress(): void {
     // A generation holds its slot until it finishes; its progress has no effect.
   }
 
-  finished(requestId: string): void {
+  onFinished(requestId: string): void {
     this.dispatches.delete(requestId);
     this.dispatchWaiting();
   }
 
-  waiting(): number {
+  waitingCount(): number {
     return this.queue.length;
   }
 }
--- a/packages/benchmarks/src/policy/decisionCost.ts
+++ b/packages/benchmarks/src/policy/decisionCost.ts
@@ -22,12 +22,12 @@
     labels: { pool: 'llm' },
     dataCentre: 'c',
   } as const;
-  table.announce(
+  table.applyAnnouncement(
     { ...common, ...attributes, memoryTokens: 1e6, slots: 1_000, lease: 1e9, leaving: false },
     0,
     0,
   );
-  table.report({ ...common, running: 20, waiting: 0, usedTokens: 16_000 }, 0, 0);
+  table.applyLoadReport({ ...common, running: 20, waiting: 0, usedTokens: 16_000 }, 0, 0);
 }
 
 /**
@@ -48,17 +48,17 @@
   for (let position = 0; position < upstreams; position += 1) {
     addUpstream(table, `engine-${position}`);
   }
-  const directoryStub = { table, onNews: () => undefined, onGone: () => undefined };
+  const directoryStub = { table, onUpdate: () => undefined, onUpstreamExpired: () => undefined };
   const placement = new kumquatfront.localPlacement.LocalPlacement({
     directory: directoryStub,
     estimator: new kumquatfront.lengthEstimator.LengthEstimator(),
-    health: new kumquatfront.health.Health(),
+    outlierDetector: new kumquatfront.outlierDetector.OutlierDetector(),
     timers,
     random: kumquatfront.seededRandom.create(1),
-    metrics: kumquatfront.statsdMetrics.silent,
-    choose: kumquatfront.choice.chooseOfTwo,
+    metrics: kumquatfront.statsdMetrics.noop,
+    selectUpstream: kumquatfront.balancingPolicy.powerOfTwoChoices,
     headroom: kumquatfront.headroom.defaultSettings,
-    bounds: () => ({ perAccount: 1e6, total: 1e6 }),
+    queueBounds: () => ({ perAccount: 1e6, total: 1e6 }),
     weightOf: () => 1,
     upstreamWait: 1_000,
   });
@@ -70,7 +70,7 @@
     ...{ promptTokens: 400, prefix: '', estimateKeys: ['a/m/t', 'm/t', 'm'], exclude: new Set<string>() },
   });
   for (let position = 0; position < upstreams * runningEach; position += 1) {
-    placement.adopt({
+    placement.importDispatch({
       requestId: `running-${position}`,
       upstream: `engine-${position % upstreams}`,
       promptTokens: 400,
@@ -83,7 +83,7 @@
     for (let round = 0; round < DECISIONS; round += 1) {
       const requestId = `${urgency}-${round}`;
       placement.place(request(requestId, urgency), () => undefined);
-      placement.finished(requestId, 0, false);
+      placement.onFinished(requestId, 0, false);
     }
     return ((clock.now() - startedAt) / DECISIONS) * 1_000;
   };
--- a/packages/benchmarks/src/policy/policies.ts
+++ b/packages/benchmarks/src/policy/policies.ts
@@ -15,8 +15,10 @@
     new kumquatfront.coordinatedPlacement.CoordinatedPlacement({ ...options, ...change(options) });
 }
 
-const chooseAtRandom: kumquatfront.choice.Choose = (request, candidates, context) => {
-  const usable = candidates.filter((candidate) => kumquatfront.choice.isUsable(request, candidate, context));
+const chooseAtRandom: kumquatfront.balancingPolicy.BalancingPolicy = (request, candidates, context) => {
+  const usable = candidates.filter((candidate) =>
+    kumquatfront.balancingPolicy.isUsable(request, candidate, context),
+  );
   return usable[Math.floor(context.random.next() * usable.length)];
 };
 
@@ -37,7 +39,7 @@
   withoutReserve: createCoordinated((options) => ({
     headroom: { ...options.headroom, reservedMemory: 0, reservedSlots: 0 },
   })),
-  withoutTwoChoices: createCoordinated(() => ({ choose: chooseAtRandom })),
+  withoutTwoChoices: createCoordinated(() => ({ selectUpstream: chooseAtRandom })),
 };
 
 /** Names of the baseline policies in `policies`. */
--- a/packages/benchmarks/src/policy/policyRun.ts
+++ b/packages/benchmarks/src/policy/policyRun.ts
@@ -158,14 +158,14 @@
       acceptsRestart: false,
     },
     {
-      accepted: () => undefined,
-      token: () => {
+      sendAccepted: () => undefined,
+      sendToken: () => {
         onToken();
         return true;
       },
-      restarted: () => undefined,
-      ended: () => undefined,
-      refused: (refusal) => {
+      sendRestart: () => undefined,
+      complete: () => undefined,
+      refuse: (refusal) => {
         metrics.refused += refusal.kind === 'notRun' ? 1 : 0;
         metrics.interrupted += refusal.kind === 'interrupted' ? 1 : 0;
         metrics.urgentPending -= arrival.urgent && isCounted && lastTokenAt === undefined ? 1 : 0;
@@ -182,7 +182,7 @@
     } else if (fault === 'freeze') {
       world.freeze('engine-1');
     } else if (fault === 'reclaim') {
-      world.leave('engine-1');
+      world.sendTerminationNotice('engine-1');
       world.time.after(5_000, () => {
         world.kill('engine-1');
       });
--- a/packages/benchmarks/src/relay/tokenSource.ts
+++ b/packages/benchmarks/src/relay/tokenSource.ts
@@ -90,7 +90,7 @@
     },
     timers: kumquatfront.timerService.create(clock, scheduler),
     random,
-    ...{ announceEvery: 1_000, reportEvery: 1_000, reportLag: 0, cacheLoss: 0 },
+    ...{ announcementInterval: 1_000, reportInterval: 1_000, reportLag: 0, cacheEventLossShare: 0 },
     load: () => idle,
     cacheChanges: () => ({ added: [], removed: [] }),
     isFrozen: () => false,
--- a/packages/benchmarks/src/slopes/controlProcesses.ts
+++ b/packages/benchmarks/src/slopes/controlProcesses.ts
@@ -198,9 +198,9 @@
         entries: cluster.entryAddresses.slice(0, 1),
         key: 'demo-key-canteen',
         labels: '',
-        silenceLimit: 5_000,
+        idleTimeout: 5_000,
         deadline: 20_000,
-        restart: false,
+        allowRestart: false,
       },
       kumquatfront.systemTime,
     );
--- a/packages/benchmarks/src/slopes/controlTraffic.ts
+++ b/packages/benchmarks/src/slopes/controlTraffic.ts
@@ -30,11 +30,11 @@
   session: scenarios.session.Session,
   name: string,
 ): { readonly messages: number; readonly bytes: number } {
-  return session.world.net.sent.get(name) ?? { messages: 0, bytes: 0 };
+  return session.world.network.sent.get(name) ?? { messages: 0, bytes: 0 };
 }
 
 function totalBytes(session: scenarios.session.Session): number {
-  return [...session.world.net.sent.values()].reduce((sum, counter) => sum + counter.bytes, 0);
+  return [...session.world.network.sent.values()].reduce((sum, counter) => sum + counter.bytes, 0);
 }
 
 function measureChangeLatency(session: scenarios.session.Session, position: number, entries: number): number {
@@ -42,7 +42,7 @@
   const [leader = ''] = session.world.leaders();
   const body = { labels: { region: name } };
   const startedAt = session.world.time.now();
-  session.change(
+  session.submitChange(
     name,
     { kind: 'market', name, body, expectedVersion: 0, changeId: `slopes-${name}` },
     leader,
@@ -50,7 +50,7 @@
   while (session.world.time.now() - startedAt < IN_FORCE_TIMEOUT) {
     session.world.time.advance(TIME_STEP);
     const version = session.changes.get(name)?.version ?? 0;
-    if (version > 0 && session.inForce(version) === entries) {
+    if (version > 0 && session.countEntriesInForce(version) === entries) {
       return session.world.time.now() - startedAt;
     }
   }
@@ -81,7 +81,7 @@
     },
   });
   session.configure();
-  session.world.net.countBytes = true;
+  session.world.network.countBytes = true;
   session.world.time.advance(IDLE_SECONDS * 1_000);
   const [leader = ''] = session.world.leaders();
   const follower = numberedNames('control', replicas).find((name) => name !== leader) ?? '';
@@ -92,7 +92,7 @@
     entryBytes: sentCounters(session, 'entry-1').bytes / IDLE_SECONDS,
     leaderMessages: sentCounters(session, leader).messages / IDLE_SECONDS,
   };
-  session.world.net.sent.clear();
+  session.world.network.sent.clear();
   const startedAt = session.world.time.now();
   const latencies = Array.from({ length: CHANGES }, (_, position) =>
     measureChangeLatency(session, position, entries),
--- a/packages/benchmarks/src/slopes/coordinationTraffic.ts
+++ b/packages/benchmarks/src/slopes/coordinationTraffic.ts
@@ -30,7 +30,7 @@
 
 function snapshot(session: scenarios.session.Session): ReadonlyMap<string, Counter> {
   const counters = new Map<string, Counter>();
-  for (const [name, counter] of session.world.net.sent) {
+  for (const [name, counter] of session.world.network.sent) {
     counters.set(name, { ...counter });
   }
   return counters;
@@ -77,15 +77,15 @@
   }
   session.configure();
   const { world } = session;
-  world.net.countBytes = true;
-  world.net.sent.clear();
+  world.network.countBytes = true;
+  world.network.sent.clear();
   world.time.advance(IDLE_DURATION);
   const idleCounters = snapshot(session);
-  world.net.sent.clear();
+  world.network.sent.clear();
   let requests = 0;
   for (let at = 0; at < LOAD_DURATION; at += REQUEST_INTERVAL) {
     const name = `r${requests}`;
-    session.stream(
+    session.startStream(
       {
         name,
         key: scenarios.baseConfiguration.accountKeys.school,
--- a/packages/benchmarks/src/slopes/dissemination.ts
+++ b/packages/benchmarks/src/slopes/dissemination.ts
@@ -48,19 +48,25 @@
 
 /** A node that receives updates and keeps a table of upstreams. */
 interface Node {
-  takeNews(update: kumquatfront.directoryTypes.UpstreamNews): void;
+  applyUpdate(update: kumquatfront.directoryTypes.UpstreamUpdate): void;
   readonly table: kumquatfront.upstreamTable.UpstreamTable;
 }
 
 interface Message {
-  readonly items: readonly { readonly news: kumquatfront.directoryTypes.UpstreamNews; readonly at: number }[];
+  readonly items: readonly {
+    readonly news: kumquatfront.directoryTypes.UpstreamUpdate;
+    readonly at: number;
+  }[];
 }
 
 /** Node of the full table and tree strategies: pushes the latest update of each upstream to its targets every round. */
 class PushNode implements Node {
   readonly table = new kumquatfront.upstreamTable.UpstreamTable();
-  private readonly known = new Map<string, { news: kumquatfront.directoryTypes.UpstreamNews; at: number }>();
-  private unsent = new Map<string, { news: kumquatfront.directoryTypes.UpstreamNews; at: number }>();
+  private readonly known = new Map<
+    string,
+    { news: kumquatfront.directoryTypes.UpstreamUpdate; at: number }
+  >();
+  private unsent = new Map<string, { news: kumquatfront.directoryTypes.UpstreamUpdate; at: number }>();
   private readonly timers: kumquatfront.timerService.TimerService;
   private readonly peers: kumquatfront.ports.PeerTransport;
 
@@ -84,18 +90,18 @@
     });
   }
 
-  private merge(update: kumquatfront.directoryTypes.UpstreamNews, at: number): void {
+  private merge(update: kumquatfront.directoryTypes.UpstreamUpdate, at: number): void {
     if (update.type !== 'announce') {
       return;
     }
     const now = this.timers.now();
-    if (this.table.announce(update.announcement, now - at, now)) {
+    if (this.table.applyAnnouncement(update.announcement, now - at, now)) {
       this.known.set(update.announcement.name, { news: update, at });
       this.unsent.set(update.announcement.name, { news: update, at });
     }
   }
 
-  takeNews(update: kumquatfront.directoryTypes.UpstreamNews): void {
+  applyUpdate(update: kumquatfront.directoryTypes.UpstreamUpdate): void {
     this.merge(update, this.timers.now());
   }
 
@@ -238,7 +244,7 @@
       lease: this.options.renewalInterval * LEASE_RENEWALS,
       leaving: this.drainingUpstreams.has(name),
     };
-    this.nodes.get(node)?.takeNews({ type: 'announce', announcement });
+    this.nodes.get(node)?.applyUpdate({ type: 'announce', announcement });
   }
 
   private nodeShare(known: (node: Node) => boolean, nodeNames: readonly string[]): number {
--- a/packages/benchmarks/src/slopes/memory.ts
+++ b/packages/benchmarks/src/slopes/memory.ts
@@ -65,8 +65,8 @@
       leaving: false,
     };
     const report = { ...common, running: 10, waiting: 0, usedTokens: 9_000 };
-    table.announce(announcement, 0, 0);
-    table.report(report, 0, 0);
+    table.applyAnnouncement(announcement, 0, 0);
+    table.applyLoadReport(report, 0, 0);
     store.publish('entry', 1, `announce/${common.name}`, { type: 'announce', announcement }, 0);
     store.publish('entry', 1, `load/${common.name}`, { type: 'load', report }, 0);
   }
@@ -74,9 +74,9 @@
 }
 
 function createLedgerWithDispatches(): unknown {
-  const ledger = new kumquatfront.dispatchLedger.DispatchLedger();
+  const ledger = new kumquatfront.dispatchTracker.DispatchTracker();
   for (const position of itemIndexes()) {
-    ledger.dispatched(
+    ledger.recordDispatch(
       {
         requestId: `request-${position}`,
         account: 'a',
--- a/packages/command/src/applyFile.ts
+++ b/packages/command/src/applyFile.ts
@@ -38,7 +38,7 @@
   readonly kumquatfront.configurationTypes.ConfigurationDraft[],
   kumquatfront.failures.Failure
 > {
-  const parsed = kumquatfront.httpAnswers.parseObject(text);
+  const parsed = kumquatfront.httpMessages.parseObject(text);
   if (parsed.err) {
     return parsed;
   }
--- a/packages/command/src/localCommands.ts
+++ b/packages/command/src/localCommands.ts
@@ -21,7 +21,7 @@
   file: string,
 ): kumquatfront.results.Result<commandRunner.CommandOutput, kumquatfront.failures.Failure> {
   return inputFile.read(file).andThen((text) => {
-    const { readEntry, readControl } = kumquatfront.settingsLoader;
+    const { parseEntrySettings: readEntry, parseControlSettings: readControl } = kumquatfront.settingsLoader;
     const isControl = text.includes('"control":') && !text.includes('"entry":');
     const checked = isControl
       ? readControl(text, file).map(() => 'control')
--- a/packages/daemons/src/control.ts
+++ b/packages/daemons/src/control.ts
@@ -7,7 +7,7 @@
 import * as controlDaemon from './controlDaemon.js';
 import * as settingsFile from './settingsFile.js';
 
-const settings = settingsFile.load('kumquatfront-control', kumquatfront.settingsLoader.readControl);
+const settings = settingsFile.load('kumquatfront-control', kumquatfront.settingsLoader.parseControlSettings);
 const started = controlDaemon.start(settings, (reason) => {
   const remedy =
     'Check the disk; restart the process when the disk is healthy, or empty the folder to join as a new member.';
--- a/packages/daemons/src/controlDaemon.ts
+++ b/packages/daemons/src/controlDaemon.ts
@@ -49,7 +49,7 @@
         node,
         peers: transport,
         operatorKeyHash,
-        control: control.control,
+        controlAddresses: control.control,
       });
       const [host = '', port = ''] = settings.operatorListen.split(':');
       server.listen(Number(port), host, () => {
--- a/packages/daemons/src/entry.ts
+++ b/packages/daemons/src/entry.ts
@@ -7,7 +7,7 @@
 import * as entryDaemon from './entryDaemon.js';
 import * as settingsFile from './settingsFile.js';
 
-const settings = settingsFile.load('kumquatfront-entry', kumquatfront.settingsLoader.readEntry);
+const settings = settingsFile.load('kumquatfront-entry', kumquatfront.settingsLoader.parseEntrySettings);
 const running = entryDaemon.start(settings, drain);
 
 function drain(): void {
--- a/packages/daemons/src/entryDaemon.ts
+++ b/packages/daemons/src/entryDaemon.ts
@@ -26,10 +26,10 @@
     peers: transport,
     log,
     metrics: kumquatfront.statsdMetrics.create(settings.metrics, settings.entry.name),
-    engines: kumquatfront.httpUpstreams.createEngines(),
-    services: kumquatfront.httpUpstreams.createServices(),
-    checkUpstream: kumquatfront.httpUpstreams.createCheck(kumquatfront.systemTime.scheduler),
-    orders: kumquatfront.httpUpstreams.createOrders(),
+    engines: kumquatfront.httpUpstreams.createGenerationPort(),
+    services: kumquatfront.httpUpstreams.createServicePort(),
+    checkUpstream: kumquatfront.httpUpstreams.createConnectionCheck(kumquatfront.systemTime.scheduler),
+    orders: kumquatfront.httpUpstreams.createOrderPort(),
     onDrainRequest,
   };
 }
--- a/packages/demo/src/operators.spec.ts
+++ b/packages/demo/src/operators.spec.ts
@@ -93,9 +93,9 @@
         entries: [address],
         key: 'demo-key-school-large',
         labels: 'traffic=report',
-        silenceLimit: 20_000,
+        idleTimeout: 20_000,
         deadline: 60_000,
-        restart: false,
+        allowRestart: false,
       },
       kumquatfront.systemTime,
     );
--- a/packages/demo/src/traffic.ts
+++ b/packages/demo/src/traffic.ts
@@ -41,9 +41,9 @@
       entries: this.entries,
       key: `demo-key-${account}`,
       labels,
-      silenceLimit: 5_000,
+      idleTimeout: 5_000,
       deadline: 40_000,
-      restart: true,
+      allowRestart: true,
     };
     const created = new kumquatfront.callerClient.CallerClient(options, kumquatfront.systemTime);
     this.clients.push(created);
--- a/packages/kumquatfront/src/adapters/boundedOutput.spec.ts
+++ b/packages/kumquatfront/src/adapters/boundedOutput.spec.ts
@@ -71,7 +71,7 @@
 
 // A reader that never resumes must not block the process or let its buffer grow without limit.
 void test.test('memory is bounded where the reader stops', () => {
-  const { time, output } = createOutput(() => undefined, { waiting: 1_000 });
+  const { time, output } = createOutput(() => undefined, { maximumPendingCharacters: 1_000 });
   for (let count = 0; count < 10_000; count += 1) {
     output.write('x'.repeat(50), 'important');
     time.advance(1);
--- a/packages/kumquatfront/src/adapters/boundedOutput.ts
+++ b/packages/kumquatfront/src/adapters/boundedOutput.ts
@@ -15,11 +15,15 @@
   /** Capacity of the token bucket, in lines. */
   readonly burst: number;
   /** Maximum number of characters that are buffered while the reader is slow. */
-  readonly waiting: number;
+  readonly maximumPendingCharacters: number;
 }
 
 /** Default bounds for the log of one process. */
-export const defaultBounds: OutputBounds = { linesPerSecond: 300, burst: 3_000, waiting: 262_144 };
+export const defaultBounds: OutputBounds = {
+  linesPerSecond: 300,
+  burst: 3_000,
+  maximumPendingCharacters: 262_144,
+};
 
 /** Delay before a failed write, such as one to a full pipe, is retried. */
 const FULL_PIPE_RETRY_DELAY: ports.Milliseconds = 20;
@@ -63,7 +67,7 @@
 
   private mayWrite(line: string, priority: LinePriority): boolean {
     const now = this.clock.now();
-    const { burst, linesPerSecond, waiting: maximumPendingCharacters } = this.bounds;
+    const { burst, linesPerSecond, maximumPendingCharacters } = this.bounds;
     this.tokens = Math.min(burst, this.tokens + ((now - this.refilledAt) * linesPerSecond) / 1_000);
     this.refilledAt = now;
     if (
--- a/packages/kumquatfront/src/adapters/connectionCheck.ts
+++ b/packages/kumquatfront/src/adapters/connectionCheck.ts
@@ -23,12 +23,12 @@
 export function run(
   address: string,
   scheduler: ports.Scheduler,
-  done: (result: relayTypes.ConnectionSign) => void,
+  done: (result: relayTypes.ConnectionCheckResult) => void,
 ): void {
   const colon = address.lastIndexOf(':');
   const socket = net.connect({ host: address.slice(0, colon), port: Number(address.slice(colon + 1)) });
   let settled = false;
-  const settle = (result: relayTypes.ConnectionSign): void => {
+  const settle = (result: relayTypes.ConnectionCheckResult): void => {
     if (!settled) {
       settled = true;
       cancelTimeout();
--- a/packages/kumquatfront/src/adapters/controlHttp.ts
+++ b/packages/kumquatfront/src/adapters/controlHttp.ts
@@ -12,7 +12,7 @@
 import type * as ports from '../kernel/ports.js';
 import * as results from '../kernel/results.js';
 import * as trafficResolver from '../selectors/trafficResolver.js';
-import * as httpAnswers from './httpAnswers.js';
+import * as httpMessages from './httpMessages.js';
 import * as peerAuthentication from './peerAuthentication.js';
 
 /** Options of the operator HTTP API. */
@@ -22,7 +22,7 @@
   /** SHA-256 hash of the operators' bearer key. */
   readonly operatorKeyHash: string;
   /** Peer addresses of all control replicas. */
-  readonly control: readonly string[];
+  readonly controlAddresses: readonly string[];
 }
 
 const OBJECT_PATH = /^\/v1\/configuration\/([A-Za-z]+)(?:\/([A-Za-z0-9._-]{1,63}))?$/;
@@ -41,11 +41,11 @@
  * ```
  */
 export function createServer(options: ControlHttpOptions): http.Server {
-  return http.createServer(httpAnswers.serverOptions, (request, response) => {
-    const hash = trafficResolver.hashKey(httpAnswers.bearerKey(request));
+  return http.createServer(httpMessages.serverOptions, (request, response) => {
+    const hash = trafficResolver.hashKey(httpMessages.bearerKey(request));
     if (!peerAuthentication.timingSafeEqual(hash, options.operatorKeyHash)) {
       const remedy = 'Send the operators key in the Authorization header.';
-      httpAnswers.sendFailure(
+      httpMessages.sendFailure(
         response,
         failures.create('unauthorized', 'The operator key is not known.', remedy),
       );
@@ -75,7 +75,7 @@
     const type = request.method === 'PUT' ? 'evacuate' : 'restore';
     evacuateOrRestore(options, { type, dataCentre }, response);
   } else if (request.method === 'GET' && kind !== undefined) {
-    sendResult(response, options.node.read(kind, name), (objects) => ({ objects }));
+    sendResult(response, options.node.readObjects(kind, name), (objects) => ({ objects }));
   } else if (
     (request.method === 'PUT' || request.method === 'DELETE') &&
     kind !== undefined &&
@@ -84,7 +84,7 @@
     configureObject(options, kind, name, request, response);
   } else {
     const remedy = 'See docs/http.md for the paths.';
-    httpAnswers.sendFailure(response, failures.create('notFound', `There is no ${url.pathname}.`, remedy));
+    httpMessages.sendFailure(response, failures.create('notFound', `There is no ${url.pathname}.`, remedy));
   }
 }
 
@@ -94,9 +94,9 @@
   toBody: (value: Value) => unknown,
 ): void {
   if (result.err) {
-    httpAnswers.sendFailure(response, result.val);
+    httpMessages.sendFailure(response, result.val);
   } else {
-    httpAnswers.sendJson(response, 200, toBody(result.val));
+    httpMessages.sendJson(response, 200, toBody(result.val));
   }
 }
 
@@ -133,12 +133,12 @@
   request: http.IncomingMessage,
   response: http.ServerResponse,
 ): void {
-  httpAnswers.readBody(request, (text) => {
+  httpMessages.readBody(request, (text) => {
     const command = text
-      .andThen(httpAnswers.parseObject)
+      .andThen(httpMessages.parseObject)
       .andThen((body) => parseConfigureCommand(kind, name, request.method === 'DELETE', body));
     if (command.err) {
-      httpAnswers.sendFailure(response, command.val);
+      httpMessages.sendFailure(response, command.val);
       return;
     }
     options.node.configure(command.val, (result) => {
@@ -170,14 +170,14 @@
   result: results.Result<unknown, failures.Failure>,
 ): void {
   if (result.err) {
-    httpAnswers.sendFailure(response, result.val);
+    httpMessages.sendFailure(response, result.val);
     return;
   }
   const answer = result.val as agreedState.ConfigureAnswer;
   if (answer.accepted) {
-    httpAnswers.sendJson(response, 200, answer);
+    httpMessages.sendJson(response, 200, answer);
   } else {
-    httpAnswers.sendFailure(response, answer.failure);
+    httpMessages.sendFailure(response, answer.failure);
   }
 }
 
@@ -186,10 +186,10 @@
   request: http.IncomingMessage,
   response: http.ServerResponse,
 ): void {
-  httpAnswers.readBody(request, (text) => {
-    const body = text.andThen(httpAnswers.parseObject).andThen(parseOrderCommand);
+  httpMessages.readBody(request, (text) => {
+    const body = text.andThen(httpMessages.parseObject).andThen(parseOrderCommand);
     if (body.err) {
-      httpAnswers.sendFailure(response, body.val);
+      httpMessages.sendFailure(response, body.val);
       return;
     }
     options.node.services.find('replica').propose(body.val, (result) => {
@@ -205,7 +205,7 @@
   command: agreedState.DataCentreCommand,
   response: http.ServerResponse,
 ): void {
-  options.node.orderDataCentre(command, (result) => {
+  options.node.evacuateOrRestore(command, (result) => {
     forwardToLeader(options, methods.methods.evacuate, command, result, (final) => {
       sendResult(response, final, (evacuations) => evacuations);
     });
@@ -262,14 +262,14 @@
   options: ControlHttpOptions,
   done: (replicas: readonly methods.ControlStatus[], unresponsive: readonly string[]) => void,
 ): void {
-  requestFromAll(options, options.control, methods.methods.status, (answers, unresponsive) => {
+  requestFromAll(options, options.controlAddresses, methods.methods.status, (answers, unresponsive) => {
     done(answers as readonly methods.ControlStatus[], unresponsive);
   });
 }
 
 function sendStatus(options: ControlHttpOptions, response: http.ServerResponse): void {
   collectStatus(options, (replicas, unresponsive) => {
-    httpAnswers.sendJson(response, 200, { replicas, silent: unresponsive });
+    httpMessages.sendJson(response, 200, { replicas, silent: unresponsive });
   });
 }
 
@@ -284,7 +284,7 @@
   collectStatus(options, (replicas) => {
     const addresses = [...new Set(entryAddresses(replicas).values())];
     requestFromAll(options, addresses, methods.methods.entryBurn, (counts, unresponsive) => {
-      httpAnswers.sendJson(response, 200, { counts, silent: unresponsive });
+      httpMessages.sendJson(response, 200, { counts, silent: unresponsive });
     });
   });
 }
@@ -294,14 +294,14 @@
   request: http.IncomingMessage,
   response: http.ServerResponse,
 ): void {
-  httpAnswers.readBody(request, (text) => {
-    const body = text.andThen(httpAnswers.parseObject);
+  httpMessages.readBody(request, (text) => {
+    const body = text.andThen(httpMessages.parseObject);
     const name = body.ok && typeof body.val.entry === 'string' ? body.val.entry : '';
     collectStatus(options, (replicas) => {
       const address = entryAddresses(replicas).get(name);
       if (address === undefined) {
         const remedy = '`kumquatfront status` lists the entries.';
-        httpAnswers.sendFailure(
+        httpMessages.sendFailure(
           response,
           failures.create('notFound', `There is no entry "${name}".`, remedy),
         );
--- a/packages/kumquatfront/src/adapters/entryHttp.ts
+++ b/packages/kumquatfront/src/adapters/entryHttp.ts
@@ -3,13 +3,13 @@
  */
 import * as http from 'node:http';
 
-import * as newsParser from '../directory/newsParser.js';
+import * as upstreamUpdateParser from '../directory/upstreamUpdateParser.js';
 import type * as entryNode from '../entryNode/entryNode.js';
 import type * as entryTypes from '../entryNode/types.js';
 import * as failures from '../kernel/failures.js';
 import * as trafficResolver from '../selectors/trafficResolver.js';
 import type * as streams from '../streams/types.js';
-import * as httpAnswers from './httpAnswers.js';
+import * as httpMessages from './httpMessages.js';
 import * as peerAuthentication from './peerAuthentication.js';
 import * as generationResponses from './generationResponses.js';
 
@@ -29,7 +29,7 @@
  * ```
  */
 export function createServer(settings: entryTypes.EntrySettings, entry: entryNode.EntryNode): http.Server {
-  return http.createServer(httpAnswers.serverOptions, (request, response) => {
+  return http.createServer(httpMessages.serverOptions, (request, response) => {
     const url = new URL(request.url ?? '/', 'http://entry');
     if (request.method === 'GET' && url.pathname === '/v1/entries') {
       sendAddresses(settings, entry, response);
@@ -45,7 +45,7 @@
       sendStatus(entry, request, response);
     } else {
       const remedy = 'See docs/http.md for the paths.';
-      httpAnswers.sendFailure(response, failures.create('notFound', `There is no ${url.pathname}.`, remedy));
+      httpMessages.sendFailure(response, failures.create('notFound', `There is no ${url.pathname}.`, remedy));
     }
   });
 }
@@ -57,11 +57,11 @@
 ): void {
   const seconds = Math.floor(settings.addressLife / 1000);
   const cacheControl = `max-age=${seconds}`;
-  httpAnswers.sendJson(response, 200, { entries: entry.addresses() }, { 'cache-control': cacheControl });
+  httpMessages.sendJson(response, 200, { entries: entry.addresses() }, { 'cache-control': cacheControl });
 }
 
 function isUpstream(settings: entryTypes.EntrySettings, request: http.IncomingMessage): boolean {
-  const hash = trafficResolver.hashKey(httpAnswers.bearerKey(request));
+  const hash = trafficResolver.hashKey(httpMessages.bearerKey(request));
   return peerAuthentication.timingSafeEqual(hash, settings.upstreamKeyHash);
 }
 
@@ -74,20 +74,20 @@
   // An unauthenticated announcement would route callers' prompts to an untrusted process.
   if (!isUpstream(settings, request)) {
     const remedy = 'Announce with the upstream key of this cluster.';
-    httpAnswers.sendFailure(
+    httpMessages.sendFailure(
       response,
       failures.create('unauthorized', 'The upstream key is not known.', remedy),
     );
     return;
   }
-  httpAnswers.readBody(request, (body) => {
-    const update = body.andThen(newsParser.parse);
+  httpMessages.readBody(request, (body) => {
+    const update = body.andThen(upstreamUpdateParser.parse);
     if (update.err) {
-      httpAnswers.sendFailure(response, update.val);
+      httpMessages.sendFailure(response, update.val);
       return;
     }
-    entry.takeNews(update.val);
-    httpAnswers.sendJson(response, 200, { entries: entry.addresses() });
+    entry.applyUpdate(update.val);
+    httpMessages.sendJson(response, 200, { entries: entry.addresses() });
   });
 }
 
@@ -96,15 +96,15 @@
   request: http.IncomingMessage,
   response: http.ServerResponse,
 ): void {
-  if (entry.services.find('resolver').account(httpAnswers.bearerKey(request)) === undefined) {
+  if (entry.services.find('resolver').account(httpMessages.bearerKey(request)) === undefined) {
     const remedy = 'Send the key of a client account.';
-    httpAnswers.sendFailure(
+    httpMessages.sendFailure(
       response,
       failures.create('unauthorized', 'The bearer key is not known.', remedy),
     );
     return;
   }
-  httpAnswers.sendJson(response, 200, entry.presence());
+  httpMessages.sendJson(response, 200, entry.presence());
 }
 
 function generate(
@@ -113,11 +113,11 @@
   request: http.IncomingMessage,
   response: http.ServerResponse,
 ): void {
-  httpAnswers.readBody(request, (text) => {
-    const body = text.andThen(httpAnswers.parseObject);
+  httpMessages.readBody(request, (text) => {
+    const body = text.andThen(httpMessages.parseObject);
     if (body.err) {
       const { message, remedy } = body.val;
-      httpAnswers.sendRefusal(response, { kind: 'invalid', status: 400, message, remedy });
+      httpMessages.sendRefusal(response, { kind: 'invalid', status: 400, message, remedy });
       return;
     }
     const streaming = body.val.stream === true;
@@ -126,11 +126,11 @@
       : new generationResponses.BufferedJsonResponse(response, path);
     const handle = entry.requests.generate(
       {
-        bearerKey: httpAnswers.bearerKey(request),
-        labelsHeader: httpAnswers.header(request, 'kumquatfront-labels'),
+        bearerKey: httpMessages.bearerKey(request),
+        labelsHeader: httpMessages.header(request, 'kumquatfront-labels'),
         path,
         body: body.val,
-        acceptsRestart: !streaming || httpAnswers.header(request, 'kumquatfront-accept') === 'restart',
+        acceptsRestart: !streaming || httpMessages.header(request, 'kumquatfront-accept') === 'restart',
       },
       answer,
     );
@@ -140,10 +140,10 @@
 
 function attachStreamHandle(response: http.ServerResponse, handle: streams.StreamHandle): void {
   response.on('drain', () => {
-    handle.drained();
+    handle.onDrain();
   });
   response.on('close', () => {
-    handle.callerGone();
+    handle.onCallerDisconnect();
   });
 }
 
@@ -156,10 +156,10 @@
   const answer = new generationResponses.EventStreamResponse(response);
   const handle = entry.requests.resume(
     {
-      bearerKey: httpAnswers.bearerKey(request),
+      bearerKey: httpMessages.bearerKey(request),
       labelsHeader: undefined,
       requestId: REQUEST_PATH.exec(url.pathname)?.[1] ?? '',
-      token: httpAnswers.header(request, 'last-event-id') ?? '',
+      token: httpMessages.header(request, 'last-event-id') ?? '',
     },
     answer,
   );
@@ -173,30 +173,30 @@
   response: http.ServerResponse,
 ): void {
   const [, service = '', path = '/'] = SERVICE_PATH.exec(url.pathname) ?? [];
-  httpAnswers.readBody(request, (body) => {
+  httpMessages.readBody(request, (body) => {
     if (body.err) {
-      httpAnswers.sendFailure(response, body.val);
+      httpMessages.sendFailure(response, body.val);
       return;
     }
-    entry.requests.call(
+    entry.requests.callService(
       {
-        bearerKey: httpAnswers.bearerKey(request),
-        labelsHeader: httpAnswers.header(request, 'kumquatfront-labels'),
+        bearerKey: httpMessages.bearerKey(request),
+        labelsHeader: httpMessages.header(request, 'kumquatfront-labels'),
         service,
         method: request.method ?? 'GET',
         path: path + url.search,
-        contentType: httpAnswers.header(request, 'content-type') ?? 'application/json',
+        contentType: httpMessages.header(request, 'content-type') ?? 'application/json',
         body: body.val,
-        idempotencyKey: httpAnswers.header(request, 'idempotency-key'),
+        idempotencyKey: httpMessages.header(request, 'idempotency-key'),
       },
       {
-        answered: (answer, replayed) => {
+        respond: (answer, replayed) => {
           const headers = { 'content-type': answer.contentType, 'idempotency-replayed': String(replayed) };
           response.writeHead(answer.status, headers);
           response.end(answer.body);
         },
-        refused: (refusal) => {
-          httpAnswers.sendRefusal(response, refusal);
+        refuse: (refusal) => {
+          httpMessages.sendRefusal(response, refusal);
         },
       },
     );
--- a/packages/kumquatfront/src/adapters/generationResponses.ts
+++ b/packages/kumquatfront/src/adapters/generationResponses.ts
@@ -5,8 +5,8 @@
 
 import type * as ports from '../kernel/ports.js';
 import type * as streams from '../streams/types.js';
-import * as wholeAnswer from '../streams/wholeAnswer.js';
-import * as httpAnswers from './httpAnswers.js';
+import * as completionAggregator from '../streams/completionAggregator.js';
+import * as httpMessages from './httpMessages.js';
 import * as systemTime from './systemTime.js';
 
 const KEEP_ALIVE_INTERVAL = 1_000;
@@ -34,7 +34,7 @@
     });
   }
 
-  accepted(resumeToken: string): void {
+  sendAccepted(resumeToken: string): void {
     if (this.response.headersSent) {
       return;
     }
@@ -47,56 +47,56 @@
     this.response.flushHeaders();
   }
 
-  token(resumeToken: string, _index: number, data: string): boolean {
+  sendToken(resumeToken: string, _index: number, data: string): boolean {
     return this.response.write(`id: ${resumeToken}\ndata: ${data}\n\n`);
   }
 
-  restarted(resumeToken: string): void {
+  sendRestart(resumeToken: string): void {
     this.response.write(`id: ${resumeToken}\nevent: restart\ndata: {}\n\n`);
   }
 
-  ended(): void {
+  complete(): void {
     this.response.end('data: [DONE]\n\n');
   }
 
-  refused(refusal: streams.Refusal): void {
+  refuse(refusal: streams.Refusal): void {
     if (!this.response.headersSent) {
-      httpAnswers.sendRefusal(this.response, refusal);
+      httpMessages.sendRefusal(this.response, refusal);
       return;
     }
-    this.response.end(`event: error\ndata: ${JSON.stringify(httpAnswers.refusalBody(refusal))}\n\n`);
+    this.response.end(`event: error\ndata: ${JSON.stringify(httpMessages.refusalBody(refusal))}\n\n`);
   }
 }
 
 /** Buffers a generation and sends it as one JSON body on completion, so a restart is invisible to the caller. */
 export class BufferedJsonResponse implements streams.GenerationCaller {
   private readonly response: http.ServerResponse;
-  private readonly aggregator: wholeAnswer.WholeAnswer;
+  private readonly aggregator: completionAggregator.CompletionAggregator;
 
   constructor(response: http.ServerResponse, path: string) {
     this.response = response;
-    this.aggregator = new wholeAnswer.WholeAnswer(path);
+    this.aggregator = new completionAggregator.CompletionAggregator(path);
   }
 
-  accepted(): void {
+  sendAccepted(): void {
     // Nothing is sent before the generation is complete.
   }
 
-  token(_resumeToken: string, _index: number, data: string): boolean {
-    this.aggregator.add(data);
+  sendToken(_resumeToken: string, _index: number, data: string): boolean {
+    this.aggregator.addChunk(data);
     return true;
   }
 
-  restarted(): void {
-    this.aggregator.restart();
+  sendRestart(): void {
+    this.aggregator.reset();
   }
 
-  ended(count: number): void {
+  complete(count: number): void {
     this.response.writeHead(200, { 'content-type': 'application/json' });
-    this.response.end(this.aggregator.finish(count));
+    this.response.end(this.aggregator.toJson(count));
   }
 
-  refused(refusal: streams.Refusal): void {
-    httpAnswers.sendRefusal(this.response, refusal);
+  refuse(refusal: streams.Refusal): void {
+    httpMessages.sendRefusal(this.response, refusal);
   }
 }
--- a/packages/kumquatfront/src/adapters/httpUpstreams.spec.ts
+++ b/packages/kumquatfront/src/adapters/httpUpstreams.spec.ts
@@ -42,10 +42,10 @@
 function callService(services: streams.ServicePort, target: streams.UpstreamTarget): Promise<string> {
   return new Promise((resolve) => {
     services.call(target, CALL, 2_000, {
-      answered: () => {
+      onAnswer: () => {
         resolve('answered');
       },
-      failed: resolve,
+      onFailed: resolve,
     });
   });
 }
@@ -56,7 +56,7 @@
 // and must not retry.
 void test.test('a call whose connection breaks is sent once and reported as broken', async () => {
   const server = await serve((socket) => socket.destroy());
-  const outcome = await callService(httpUpstreams.createServices(), server.target);
+  const outcome = await callService(httpUpstreams.createServicePort(), server.target);
   assert.equal(outcome, 'broken');
   assert.equal(server.count(), 1);
   server.close();
@@ -71,7 +71,7 @@
       socket.destroy();
     }
   });
-  const services = httpUpstreams.createServices();
+  const services = httpUpstreams.createServicePort();
   assert.equal(await callService(services, server.target), 'answered');
   assert.equal(await callService(services, server.target), 'broken');
   assert.equal(server.count(), 2);
@@ -82,7 +82,7 @@
   const server = await serve(() => undefined);
   server.close();
   await new Promise((resolve) => setImmediate(resolve));
-  assert.equal(await callService(httpUpstreams.createServices(), server.target), 'neverSent');
+  assert.equal(await callService(httpUpstreams.createServicePort(), server.target), 'neverSent');
 });
 
 // An event that never ends must not exhaust the memory of the entry.
@@ -95,15 +95,15 @@
   });
   const order = { generation: 'r.1', path: '/v1/completions', body: '{}', priority: 0 };
   const reason = await new Promise<string>((resolve) => {
-    httpUpstreams.createEngines().start(server.target, order, {
-      opened: () => undefined,
-      token: () => {
+    httpUpstreams.createGenerationPort().start(server.target, order, {
+      onAccepted: () => undefined,
+      onToken: () => {
         resolve('token');
       },
-      ended: () => {
+      onCompleted: () => {
         resolve('ended');
       },
-      failed: (_reason, detail) => {
+      onFailed: (_reason, detail) => {
         resolve(detail);
       },
     });
--- a/packages/kumquatfront/src/adapters/httpUpstreams.ts
+++ b/packages/kumquatfront/src/adapters/httpUpstreams.ts
@@ -98,7 +98,7 @@
   private fail(reason: streams.ConnectionFailure, detail: string): void {
     if (!this.finished) {
       this.finished = true;
-      this.listener.failed(reason, detail);
+      this.listener.onFailed(reason, detail);
     }
   }
 
@@ -116,7 +116,7 @@
       this.fail(failureForStatus(response.statusCode), `status ${response.statusCode}`);
       return;
     }
-    this.listener.opened();
+    this.listener.onAccepted();
     this.readEvents(response.body);
   }
 
@@ -158,10 +158,10 @@
     const index = Number(id.slice(colon + 1));
     if (event.data === END_OF_STREAM) {
       this.finished = true;
-      this.listener.ended(generation, index);
+      this.listener.onCompleted(generation, index);
       return;
     }
-    this.listener.token(generation, index, event.data);
+    this.listener.onToken(generation, index, event.data);
   }
 
   pause(): void {
@@ -192,7 +192,7 @@
  * const ports = { engines: httpUpstreams.createGenerationPort() };
  * ```
  */
-export function createEngines(): streams.GenerationPort {
+export function createGenerationPort(): streams.GenerationPort {
   const agent = createAgent();
   return {
     start: (target, request, listener) => {
@@ -234,7 +234,7 @@
  * const ports = { checkUpstream: httpUpstreams.createConnectionCheck(systemTime.scheduler) };
  * ```
  */
-export function createCheck(scheduler: ports.Scheduler): streams.CheckUpstream {
+export function createConnectionCheck(scheduler: ports.Scheduler): streams.CheckUpstream {
   return (address, done) => {
     connectionCheck.run(new URL(address).host, scheduler, done);
   };
@@ -290,18 +290,18 @@
  * const ports = { services: httpUpstreams.createServicePort() };
  * ```
  */
-export function createServices(): streams.ServicePort {
+export function createServicePort(): streams.ServicePort {
   const agent = createAgent();
   return {
     call: (target, call, timeout, listener) => {
       const signal = AbortSignal.timeout(timeout);
       sendServiceCall(agent, target, call, signal).then(
         (answer) => {
-          listener.answered(answer);
+          listener.onAnswer(answer);
         },
         (error: unknown) => {
           const failure = signal.aborted ? 'timeout' : 'broken';
-          listener.failed(wasNeverSent(error) ? 'neverSent' : failure);
+          listener.onFailed(wasNeverSent(error) ? 'neverSent' : failure);
         },
       );
     },
@@ -318,7 +318,7 @@
  * const ports = { orders: httpUpstreams.createOrderPort() };
  * ```
  */
-export function createOrders(): orders.OrderPort {
+export function createOrderPort(): orders.OrderPort {
   const agent = createAgent();
   const sendAndReadBack = async (
     address: string,
@@ -339,7 +339,7 @@
     return (await receiptResponse.body.json()) as orders.OrderReceipt;
   };
   return {
-    give: (order, address, timeout, done) => {
+    send: (order, address, timeout, done) => {
       const remedy = 'The order is retried automatically.';
       const body = JSON.stringify({
         ...order.order,
--- a/packages/kumquatfront/src/adapters/prometheusMetrics.spec.ts
+++ b/packages/kumquatfront/src/adapters/prometheusMetrics.spec.ts
@@ -4,10 +4,10 @@
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
 
-import * as metricsPage from './metricsPage.js';
+import * as prometheusMetrics from './prometheusMetrics.js';
 
 void test.test('counters, gauges and histograms are rendered with their labels', async () => {
-  const metrics = metricsPage.create('entry-1');
+  const metrics = prometheusMetrics.create('entry-1');
   metrics.count('refusals', 2, { kind: 'overloaded' });
   metrics.count('refusals', 1, { kind: 'overloaded' });
   metrics.gauge('placement.waiting', 7);
--- a/packages/kumquatfront/src/adapters/metricsPage.ts
+++ b/packages/kumquatfront/src/adapters/prometheusMetrics.ts
@@ -12,7 +12,7 @@
 const PREFIX = 'kumquatfront_';
 
 /** Metrics that can be rendered for scraping. */
-export interface PagedMetrics extends ports.Metrics {
+export interface PrometheusMetrics extends ports.Metrics {
   /** Content type of the rendered metrics. */
   readonly contentType: string;
   /** Renders all metrics in the text format. */
@@ -35,7 +35,7 @@
  * await metrics.render();
  * ```
  */
-export function create(process: string): PagedMetrics {
+export function create(process: string): PrometheusMetrics {
   const registry = new promClient.Registry();
   registry.setDefaultLabels({ process });
   const registers = [registry];
--- a/packages/kumquatfront/src/adapters/singleUseConnection.spec.ts
+++ b/packages/kumquatfront/src/adapters/singleUseConnection.spec.ts
@@ -5,7 +5,7 @@
 import * as net from 'node:net';
 import * as test from 'node:test';
 
-import * as freshExchange from './freshExchange.js';
+import * as singleUseConnection from './singleUseConnection.js';
 import * as systemTime from './systemTime.js';
 
 interface Outcome {
@@ -30,7 +30,7 @@
         server.close();
         resolve({ ended, body: Buffer.concat(chunks).toString(), failure });
       };
-      freshExchange.send(
+      singleUseConnection.send(
         { address: `127.0.0.1:${port}`, method: 'GET', path: '/', headers: [], body: Buffer.alloc(0) },
         systemTime.scheduler,
         {
@@ -122,7 +122,7 @@
     });
   });
   const failure = await new Promise<string>((resolve) => {
-    freshExchange.send(
+    singleUseConnection.send(
       { address: `127.0.0.1:${port}`, method: 'GET', path: '/', headers: [], body: Buffer.alloc(0) },
       systemTime.scheduler,
       { head: () => undefined, data: () => undefined, end: () => undefined, failed: resolve },
--- a/packages/kumquatfront/src/adapters/freshExchange.ts
+++ b/packages/kumquatfront/src/adapters/singleUseConnection.ts
@@ -18,7 +18,7 @@
 const MAXIMUM_HEADER_BYTES = 65_536;
 
 /** A request to an upstream. */
-export interface FreshRequest {
+export interface OutgoingRequest {
   /** `ip:port` */
   readonly address: string;
   readonly method: string;
@@ -28,7 +28,7 @@
 }
 
 /** Receives the events of an exchange; unless it is cancelled, the last one is a single `onEnd` or `onFailed`. */
-export interface ExchangeListener {
+export interface ConnectionListener {
   readonly head: (status: number, headers: readonly relayTypes.Header[]) => void;
   readonly data: (bytes: Uint8Array) => void;
   readonly end: () => void;
@@ -81,9 +81,9 @@
  * ```
  */
 export function send(
-  request: FreshRequest,
+  request: OutgoingRequest,
   scheduler: ports.Scheduler,
-  listener: ExchangeListener,
+  listener: ConnectionListener,
 ): relayTypes.CancelExchange {
   const colon = request.address.lastIndexOf(':');
   const host = request.address.slice(0, colon);
--- a/packages/kumquatfront/src/adapters/statsdMetrics.ts
+++ b/packages/kumquatfront/src/adapters/statsdMetrics.ts
@@ -27,7 +27,7 @@
 export function create(settings: MetricsSettings, process: string): ports.Metrics {
   // Avoids opening a socket where no collector is configured.
   if (settings.host === undefined) {
-    return silent;
+    return noop;
   }
   const client = new hotShots.StatsD({
     host: settings.host,
@@ -52,7 +52,7 @@
 }
 
 /** Metrics that discard all values. */
-export const silent: ports.Metrics = {
+export const noop: ports.Metrics = {
   count: () => undefined,
   gauge: () => undefined,
   timing: () => undefined,
--- a/packages/kumquatfront/src/adapters/trafficHttp.ts
+++ b/packages/kumquatfront/src/adapters/trafficHttp.ts
@@ -33,7 +33,7 @@
 }
 
 /** HTTP response for a refused request. */
-export interface RefusalAnswer {
+export interface RefusalResponse {
   readonly status: number;
   readonly headers: readonly relayTypes.Header[];
   readonly body: string;
@@ -45,9 +45,12 @@
   readonly log: ports.Log;
   readonly limits: () => trafficTypes.CallerLimits | undefined;
   /** True while the entry drains: keep-alive connections are closed after their next response. */
-  readonly draining: () => boolean;
+  readonly isDraining: () => boolean;
   readonly decode: (raw: RawRequest) => relayTypes.TrafficRequest;
-  readonly encodeRefusal: (request: relayTypes.TrafficRequest, refusal: relayTypes.Refusal) => RefusalAnswer;
+  readonly encodeRefusal: (
+    request: relayTypes.TrafficRequest,
+    refusal: relayTypes.Refusal,
+  ) => RefusalResponse;
   readonly handle: (request: relayTypes.TrafficRequest, caller: relayTypes.CallerPort) => void;
 }
 
@@ -149,7 +152,7 @@
 ): relayTypes.CallerPort {
   const writeHead = (status: number, headers: readonly relayTypes.Header[]): void => {
     // Must be set before the headers are written, since Node.js then decides whether to keep the connection open.
-    outgoing.shouldKeepAlive = outgoing.shouldKeepAlive && !options.draining();
+    outgoing.shouldKeepAlive = outgoing.shouldKeepAlive && !options.isDraining();
     for (const [name, value] of headers) {
       outgoing.appendHeader(name, value);
     }
@@ -163,7 +166,7 @@
       writeHead(status, [...headers, ['Content-Length', String(Buffer.byteLength(body))]]);
       outgoing.end(body);
     },
-    whole: (head, body) => {
+    respond: (head, body) => {
       if (request.method === 'HEAD') {
         writeHead(head.status, head.headers);
         outgoing.end();
@@ -185,7 +188,7 @@
     abort: () => {
       outgoing.destroy();
     },
-    onGone: (gone) => {
+    onDisconnect: (gone) => {
       outgoing.on('close', () => {
         if (!outgoing.writableFinished) {
           gone();
--- a/packages/kumquatfront/src/addresses/addressList.ts
+++ b/packages/kumquatfront/src/addresses/addressList.ts
@@ -36,7 +36,7 @@
  * addressList.orderByPreference(directory.entries(), 'perth-1', ports.random);
  * ```
  */
-export function order(
+export function orderByPreference(
   entries: readonly directory.EntryPresence[],
   dataCentre: string,
   random: ports.Random,
--- a/packages/kumquatfront/src/admission/coordinatedPlacement.ts
+++ b/packages/kumquatfront/src/admission/coordinatedPlacement.ts
@@ -7,7 +7,7 @@
 import type * as directoryTypes from '../directory/types.js';
 import type * as ports from '../kernel/ports.js';
 import type * as routing from '../routing/types.js';
-import * as rendezvous from '../utils/rendezvous.js';
+import * as rendezvousHashing from '../utils/rendezvousHashing.js';
 import * as messages from './coordinationMessages.js';
 import * as localPlacement from './localPlacement.js';
 import * as placementCoordinator from './placementCoordinator.js';
@@ -119,7 +119,7 @@
   private coordinatorOfGroup(key: string): string {
     const entries = this.servingEntries();
     const names = entries.map((entry) => entry.name);
-    const picked = rendezvous.pick(key, names);
+    const picked = rendezvousHashing.pick(key, names);
     return entries.find((entry) => entry.name === picked)?.peerAddress ?? this.options.peerAddress;
   }
 
@@ -201,7 +201,7 @@
   private onGranted(pendingRequest: PendingRequest, announcement: directoryTypes.Announcement): void {
     const { directory: upstreams, timers } = this.options;
     // The coordinator may have learned of an upstream that gossip has not delivered to this entry yet.
-    upstreams.table.announce(announcement, 0, timers.now());
+    upstreams.table.applyAnnouncement(announcement, 0, timers.now());
     const upstream = upstreams.table.get(announcement.name);
     // The coordinator repeats its previous answer if the notification that the request left the engine was lost.
     const failed = pendingRequest.request.exclude.has(announcement.name);
@@ -217,7 +217,7 @@
       return;
     }
     if (pendingRequest.coordinator !== this.options.peerAddress) {
-      this.local.dispatches.dispatched(pendingRequest.request, announcement.name, timers.now());
+      this.local.dispatches.recordDispatch(pendingRequest.request, announcement.name, timers.now());
     }
     this.recordPlacement(pendingRequest, { type: 'granted', upstream });
   }
@@ -260,18 +260,18 @@
     }
   }
 
-  progressed(requestId: string, produced: number): void {
+  onProgress(requestId: string, produced: number): void {
     const running = this.running.get(requestId);
     if (running !== undefined) {
       running.produced = produced;
     }
-    this.local.progressed(requestId, produced);
+    this.local.onProgress(requestId, produced);
   }
 
-  finished(requestId: string, produced: number, whole: boolean): void {
+  onFinished(requestId: string, produced: number, whole: boolean): void {
     const running = this.running.get(requestId);
     this.running.delete(requestId);
-    this.local.finished(requestId, produced, whole);
+    this.local.onFinished(requestId, produced, whole);
     if (running !== undefined) {
       this.reportFinished(this.coordinatorOf(running.request), { requestId, produced, whole });
     }
@@ -289,8 +289,8 @@
     }
   }
 
-  waiting(): number {
-    return this.pending.size + this.local.waiting();
+  waitingCount(): number {
+    return this.pending.size + this.local.waitingCount();
   }
 }
 
--- a/packages/kumquatfront/src/admission/headroom.ts
+++ b/packages/kumquatfront/src/admission/headroom.ts
@@ -4,7 +4,7 @@
  */
 import type * as upstreamTable from '../directory/upstreamTable.js';
 import type * as estimates from '../estimates/lengthEstimator.js';
-import * as dispatchLedger from '../routing/dispatchLedger.js';
+import * as dispatchTracker from '../routing/dispatchTracker.js';
 import type * as routing from '../routing/types.js';
 import * as memoryForecast from './memoryForecast.js';
 
@@ -26,7 +26,7 @@
 
 /** State that the headroom is computed from. */
 export interface HeadroomContext {
-  readonly dispatches: dispatchLedger.DispatchLedger;
+  readonly dispatches: dispatchTracker.DispatchTracker;
   readonly estimator: estimates.LengthEstimator;
   readonly settings: HeadroomSettings;
   readonly now: number;
@@ -39,8 +39,8 @@
   const items: memoryForecast.GenerationMemory[] = [];
   for (const dispatch of context.dispatches.dispatchesTo(upstream)) {
     const { promptTokens, estimateKeys } = dispatch;
-    const produced = dispatchLedger.estimateProducedTokens(dispatch, context.now);
-    const survival = context.estimator.survival(estimateKeys, produced, memoryForecast.HORIZONS);
+    const produced = dispatchTracker.estimateProducedTokens(dispatch, context.now);
+    const survival = context.estimator.survivalProbabilities(estimateKeys, produced, memoryForecast.HORIZONS);
     items.push({ heldTokens: promptTokens + produced, survival });
   }
   return items;
@@ -58,9 +58,10 @@
   let ownCount = 0;
   let ownTokens = 0;
   for (const dispatch of context.dispatches.dispatchesTo(upstream.announcement.name)) {
-    if (dispatch.dispatchedAt <= upstream.loadAt) {
+    if (dispatch.dispatchedAt <= upstream.loadReportedAt) {
       ownCount += 1;
-      ownTokens += dispatch.promptTokens + dispatchLedger.estimateProducedTokens(dispatch, upstream.loadAt);
+      ownTokens +=
+        dispatch.promptTokens + dispatchTracker.estimateProducedTokens(dispatch, upstream.loadReportedAt);
     }
   }
   const count = Math.max(0, upstream.load.running + upstream.load.waiting - ownCount);
@@ -68,7 +69,11 @@
     return [];
   }
   const heldTokens = Math.max(0, upstream.load.usedTokens - ownTokens) / count;
-  const survival = context.estimator.survival(request.estimateKeys.slice(-1), 0, memoryForecast.HORIZONS);
+  const survival = context.estimator.survivalProbabilities(
+    request.estimateKeys.slice(-1),
+    0,
+    memoryForecast.HORIZONS,
+  );
   return Array.from({ length: count }, () => ({ heldTokens, survival }));
 }
 
@@ -95,7 +100,8 @@
     const { name } = upstream.announcement;
     const dispatchesVersion = context.dispatches.versionOf(name);
     const cached = this.cache.get(name);
-    const isCurrent = cached?.dispatchesVersion === dispatchesVersion && cached.loadAt === upstream.loadAt;
+    const isCurrent =
+      cached?.dispatchesVersion === dispatchesVersion && cached.loadAt === upstream.loadReportedAt;
     if (cached !== undefined && isCurrent && context.now - cached.createdAt < CACHE_TTL) {
       return cached;
     }
@@ -109,7 +115,7 @@
       generationCount: items.length,
       createdAt: context.now,
       dispatchesVersion,
-      loadAt: upstream.loadAt,
+      loadAt: upstream.loadReportedAt,
     };
     this.cache.set(name, created);
     return created;
--- a/packages/kumquatfront/src/admission/localPlacement.ts
+++ b/packages/kumquatfront/src/admission/localPlacement.ts
@@ -7,11 +7,11 @@
 import type * as estimates from '../estimates/lengthEstimator.js';
 import type * as ports from '../kernel/ports.js';
 import type * as timerService from '../kernel/timerService.js';
-import * as choice from '../routing/choice.js';
-import * as dispatchLedger from '../routing/dispatchLedger.js';
-import type * as health from '../routing/health.js';
+import * as balancingPolicy from '../routing/balancingPolicy.js';
+import * as dispatchTracker from '../routing/dispatchTracker.js';
+import type * as outlierDetector from '../routing/outlierDetector.js';
 import type * as types from '../routing/types.js';
-import * as rendezvous from '../utils/rendezvous.js';
+import * as rendezvousHashing from '../utils/rendezvousHashing.js';
 import * as drainRate from './drainRate.js';
 import * as fairQueue from './fairQueue.js';
 import * as headroom from './headroom.js';
@@ -20,15 +20,15 @@
 /** Dependencies and settings of a local placement. */
 export interface LocalPlacementOptions {
   /** Source of upstreams: a full directory, or a table that reports its changes. */
-  readonly directory: Pick<directory.Directory, 'table' | 'onNews' | 'onGone'>;
+  readonly directory: Pick<directory.Directory, 'table' | 'onUpdate' | 'onUpstreamExpired'>;
   readonly estimator: estimates.LengthEstimator;
-  readonly health: health.Health;
+  readonly outlierDetector: outlierDetector.OutlierDetector;
   readonly timers: timerService.TimerService;
   readonly random: ports.Random;
   readonly metrics: ports.Metrics;
-  readonly choose: choice.Choose;
+  readonly selectUpstream: balancingPolicy.BalancingPolicy;
   readonly headroom: headroom.HeadroomSettings;
-  readonly bounds: () => fairQueue.QueueBounds;
+  readonly queueBounds: () => fairQueue.QueueBounds;
   readonly weightOf: (account: string) => number;
   /** Milliseconds a request waits for a usable upstream before it is refused. */
   readonly upstreamWait: number;
@@ -49,7 +49,7 @@
 
 /** Places requests using the state of this process only; see the module comment. */
 export class LocalPlacement implements types.PlacementPolicy {
-  readonly dispatches = new dispatchLedger.DispatchLedger();
+  readonly dispatches = new dispatchTracker.DispatchTracker();
   private readonly options: LocalPlacementOptions;
   private readonly headroom = new headroom.Headroom();
   private readonly queues = new Map<string, fairQueue.FairQueue<QueuedRequest>>();
@@ -65,12 +65,12 @@
         this.drainQueues();
       },
     );
-    options.directory.onNews(() => {
+    options.directory.onUpdate(() => {
       for (const retry of [...this.upstreamWaiters]) {
         retry();
       }
     });
-    options.directory.onGone((name) => {
+    options.directory.onUpstreamExpired((name) => {
       this.dispatches.removeUpstream(name);
       this.headroom.removeUpstream(name);
     });
@@ -102,11 +102,13 @@
 
   private hasUsableUpstream(request: types.PlacementRequest): boolean {
     const context = this.context();
-    return this.candidates(request).some((candidate) => choice.isUsable(request, candidate, context));
+    return this.candidates(request).some((candidate) =>
+      balancingPolicy.isUsable(request, candidate, context),
+    );
   }
 
   /** Records a dispatch made by another process. */
-  adopt(
+  importDispatch(
     running: Pick<
       types.DispatchRecord,
       'requestId' | 'upstream' | 'promptTokens' | 'estimateKeys' | 'produced'
@@ -127,7 +129,7 @@
     candidates: readonly upstreamTable.UpstreamRecord[],
     done: (placement: types.Placement) => void,
   ): void {
-    const upstream = this.options.choose(request, candidates, this.context());
+    const upstream = this.options.selectUpstream(request, candidates, this.context());
     if (upstream === undefined) {
       done({ type: 'refused', refusal: { reason: 'noUpstream', retryAfter: this.options.upstreamWait } });
       return;
@@ -191,7 +193,7 @@
     if (existing !== undefined) {
       return existing;
     }
-    const queue = new fairQueue.FairQueue<QueuedRequest>(this.options.bounds, this.options.weightOf);
+    const queue = new fairQueue.FairQueue<QueuedRequest>(this.options.queueBounds, this.options.weightOf);
     this.queues.set(name, queue);
     return queue;
   }
@@ -225,11 +227,11 @@
     const context = this.context();
     const { estimator, directory: upstreams, headroom: settings } = this.options;
     const headroomContext = { dispatches: this.dispatches, estimator, settings, now: context.now };
-    const survival = estimator.survival(request.estimateKeys, 0, memoryForecast.HORIZONS);
+    const survival = estimator.survivalProbabilities(request.estimateKeys, 0, memoryForecast.HORIZONS);
     let best: upstreamTable.UpstreamRecord | undefined;
     let bestScore = 0;
     for (const candidate of this.sampleCandidates(this.candidates(request))) {
-      if (!choice.isUsable(request, candidate, context)) {
+      if (!balancingPolicy.isUsable(request, candidate, context)) {
         continue;
       }
       const freeTokens = this.headroom.freeTokensAfterPlacing(candidate, request, survival, headroomContext);
@@ -257,8 +259,8 @@
   private grant(waiting: QueuedRequest, upstream: upstreamTable.UpstreamRecord): void {
     const now = this.options.timers.now();
     const { name } = upstream.announcement;
-    this.dispatches.dispatched(waiting.request, name, now);
-    this.options.health.dispatched(name, now);
+    this.dispatches.recordDispatch(waiting.request, name, now);
+    this.options.outlierDetector.recordDispatch(name, now);
     waiting.done({ type: 'granted', upstream });
   }
 
@@ -268,11 +270,13 @@
     if (group === undefined || group.count === 1) {
       return all;
     }
-    return all.filter((record) => rendezvous.hash(record.announcement.name) % group.count === group.index);
+    return all.filter(
+      (record) => rendezvousHashing.hash(record.announcement.name) % group.count === group.index,
+    );
   }
 
-  private context(): choice.BalancingContext {
-    const { directory: upstreams, health, random, timers } = this.options;
+  private context(): balancingPolicy.BalancingContext {
+    const { directory: upstreams, outlierDetector: health, random, timers } = this.options;
     return {
       now: timers.now(),
       table: upstreams.table,
@@ -282,11 +286,11 @@
     };
   }
 
-  progressed(requestId: string, produced: number): void {
+  onProgress(requestId: string, produced: number): void {
     this.dispatches.recordProgress(requestId, produced, this.options.timers.now());
   }
 
-  finished(requestId: string, produced: number, whole: boolean): void {
+  onFinished(requestId: string, produced: number, whole: boolean): void {
     const dispatch = this.dispatches.remove(requestId);
     if (dispatch !== undefined && whole && produced > 0) {
       this.options.estimator.observe(dispatch.estimateKeys, produced);
@@ -294,7 +298,7 @@
     this.drainQueues();
   }
 
-  waiting(): number {
+  waitingCount(): number {
     return [...this.queues.values()].reduce((sum, queue) => sum + queue.size, 0);
   }
 }
--- a/packages/kumquatfront/src/admission/memoryForecast.spec.ts
+++ b/packages/kumquatfront/src/admission/memoryForecast.spec.ts
@@ -29,7 +29,7 @@
 );
 
 void test.test('survival starts at 1, never increases and matches the observed lengths', () => {
-  const survival = estimatorOf(MIXED).survival(['key'], 0, memoryForecast.HORIZONS);
+  const survival = estimatorOf(MIXED).survivalProbabilities(['key'], 0, memoryForecast.HORIZONS);
   assert.equal(survival[0], 1);
   for (let position = 1; position < survival.length; position += 1) {
     assert.ok((survival[position] ?? 0) <= (survival[position - 1] ?? 0));
@@ -43,7 +43,9 @@
   estimator.observe(['new', 'parent'], 50);
   assert.equal(estimator.quantile(['new', 'parent'], 0, 0.5), estimator.quantile(['parent'], 0, 0.5));
   assert.ok(estimator.quantile(['unknown'], 0, 0.5) > 0);
-  assert.ok(estimator.survival(['key'], 50_000, [0, 500]).every((share) => share >= 0 && share <= 1));
+  assert.ok(
+    estimator.survivalProbabilities(['key'], 50_000, [0, 500]).every((share) => share >= 0 && share <= 1),
+  );
 });
 
 // Surviving generations add their growth to the peak, ending ones release their memory; more deviations raise the
--- a/packages/kumquatfront/src/admission/placementCoordinator.ts
+++ b/packages/kumquatfront/src/admission/placementCoordinator.ts
@@ -104,16 +104,16 @@
           lastSeenAt: now,
           cancel: () => undefined,
         });
-        this.placement.adopt(running);
+        this.placement.importDispatch(running);
       }
-      this.placement.progressed(running.requestId, running.produced);
+      this.placement.onProgress(running.requestId, running.produced);
     }
   }
 
   /** Handles the notification that a request has left its engine. */
   onFinished(finished: messages.FinishNotification): void {
     if (this.requests.delete(finished.requestId)) {
-      this.placement.finished(finished.requestId, finished.produced, finished.whole);
+      this.placement.onFinished(finished.requestId, finished.produced, finished.whole);
     }
   }
 
@@ -122,7 +122,7 @@
     const tracked = this.requests.get(requestId);
     this.requests.delete(requestId);
     tracked?.cancel();
-    this.placement.finished(requestId, 0, false);
+    this.placement.onFinished(requestId, 0, false);
   }
 
   /** Discards requests of crashed entries; their dispatch records would otherwise reserve memory forever. */
--- a/packages/kumquatfront/src/agreedState/agreedState.ts
+++ b/packages/kumquatfront/src/agreedState/agreedState.ts
@@ -87,7 +87,7 @@
   }
 
   /** Maximum number of quarantined contents; a further one evicts the oldest. */
-  get mostQuarantined(): number {
+  get maximumQuarantined(): number {
     return this.limits.quarantined;
   }
 
--- a/packages/kumquatfront/src/backPressure/pausedUpstream.spec.ts
+++ b/packages/kumquatfront/src/backPressure/pausedUpstream.spec.ts
@@ -8,35 +8,37 @@
 import * as test from 'node:test';
 
 import type * as ports from '../kernel/ports.js';
-import * as crashBench from '../quarantine/crashBench.js';
-import * as relayBench from '../relay/relayBench.js';
+import * as crashTestHarness from '../quarantine/crashTestHarness.js';
+import * as relayTestHarness from '../relay/relayTestHarness.js';
 import type * as relayTypes from '../relay/types.js';
 
 const PAUSE: ports.Milliseconds = 3_000;
 /** Requests in flight at the start of a pause arrive within this time. */
-const MAX_TRANSIT_TIME: ports.Milliseconds = 500;
+const MAXIMUM_TRANSIT_TIME: ports.Milliseconds = 500;
 /** Number of requests that may arrive from one entry during a pause. */
-const MAX_DURING_PAUSE = 2;
+const MAXIMUM_DURING_PAUSE = 2;
 /** Time after which an entry must not send to an upstream that has announced its shutdown to it. */
 const DRAIN_LIMIT: ports.Milliseconds = 2_000;
 
-const refusalWithPause: relayTypes.UpstreamHead = {
-  ...relayBench.notRunHead,
+const pauseRefusal: relayTypes.ResponseHead = {
+  ...relayTestHarness.notRunHead,
   load: { running: 0, waiting: 0 },
   signals: { pause: PAUSE, leaving: false, unreadable: [] },
 };
-const leaving: relayTypes.UpstreamHead = {
-  ...relayBench.soundHead,
+const leaving: relayTypes.ResponseHead = {
+  ...relayTestHarness.okHead,
   signals: { leaving: true, unreadable: [] },
 };
 
 /** Maximum number of requests that arrive from one entry during a pause requested from that entry. */
-function maxDuringPause(harness: crashBench.CrashBench, upstream: string): number {
+function maximumDuringPause(harness: crashTestHarness.CrashTestHarness, upstream: string): number {
   const asked = harness.answers.filter(({ head, upstream: from }) => from === upstream && head.notRun);
   const counts = asked.map(({ entry, at: askedAt }) => {
     const within = harness.arrivals.filter(
       (arrival) =>
-        arrival.upstream === upstream && arrival.entry === entry && arrival.at > askedAt + MAX_TRANSIT_TIME,
+        arrival.upstream === upstream &&
+        arrival.entry === entry &&
+        arrival.at > askedAt + MAXIMUM_TRANSIT_TIME,
     );
     return within.filter(({ at }) => at < askedAt + PAUSE).length;
   });
@@ -45,19 +47,19 @@
 
 for (const service of ['app', 'llm'] as const) {
   void test.test(`an upstream that asks for a pause receives no requests during it (${service})`, () => {
-    const harness = new crashBench.CrashBench(7, { llm: 4, app: 4 }, () => 'served');
+    const harness = new crashTestHarness.CrashTestHarness(7, { llm: 4, app: 4 }, () => 'served');
     harness.generateLoad(service, 24, 4_000);
-    harness.headOf = (upstream) => (upstream === `${service}-1` ? refusalWithPause : relayBench.soundHead);
+    harness.headOf = (upstream) => (upstream === `${service}-1` ? pauseRefusal : relayTestHarness.okHead);
     harness.generateLoad(service, 24, 12_000);
-    const most = maxDuringPause(harness, `${service}-1`);
-    assert.ok(most <= MAX_DURING_PAUSE, `${most} requests during a pause`);
+    const most = maximumDuringPause(harness, `${service}-1`);
+    assert.ok(most <= MAXIMUM_DURING_PAUSE, `${most} requests during a pause`);
   });
 }
 
 // Control still lists the upstream as ready, because its termination notice has not arrived.
 void test.test('an upstream that announces its shutdown in an answer receives no further requests', () => {
-  const harness = new crashBench.CrashBench(7, { llm: 1, app: 4 }, () => 'served');
-  harness.headOf = (upstream) => (upstream === 'app-1' ? leaving : relayBench.soundHead);
+  const harness = new crashTestHarness.CrashTestHarness(7, { llm: 1, app: 4 }, () => 'served');
+  harness.headOf = (upstream) => (upstream === 'app-1' ? leaving : relayTestHarness.okHead);
   harness.generateLoad('app', 24, 12_000);
   const announcedAt = new Map<string, ports.Milliseconds>();
   for (const { entry, upstream, at } of harness.answers) {
--- a/packages/kumquatfront/src/backPressure/rateLimitShare.spec.ts
+++ b/packages/kumquatfront/src/backPressure/rateLimitShare.spec.ts
@@ -35,7 +35,7 @@
   return times.sort((left, right) => left - right);
 }
 
-function maxInWindow(times: readonly number[]): number {
+function maximumInWindow(times: readonly number[]): number {
   let most = 0;
   let first = 0;
   for (const [index, time] of times.entries()) {
@@ -52,7 +52,7 @@
   const entryCounts = fastCheck.integer({ min: 1, max: 200 });
   fastCheck.assert(
     fastCheck.property(limits, entryCounts, fastCheck.integer(), (perSecond, count, seed) => {
-      assert.ok(maxInWindow(sendAll(count, perSecond, seed)) <= allowedBy(perSecond));
+      assert.ok(maximumInWindow(sendAll(count, perSecond, seed)) <= allowedBy(perSecond));
     }),
     { seed: 7, numRuns: 80 },
   );
--- a/packages/kumquatfront/src/backPressure/rateLimitShare.ts
+++ b/packages/kumquatfront/src/backPressure/rateLimitShare.ts
@@ -31,7 +31,7 @@
 const PROBE_SPACING: ports.Milliseconds = 18_000;
 
 /** Upper bound of the requests of all entries, where each rounds its share up or down at random. */
-function maxTotal(mean: number, entries: number): number {
+function maximumTotal(mean: number, entries: number): number {
   const fraction = (mean / entries) % 1;
   const deviation = Math.sqrt(entries * fraction * (1 - fraction));
   const allRoundedUp = entries * Math.ceil(mean / entries);
@@ -55,7 +55,7 @@
   const bound = OVERSHOOT * allowed + BURST_ALLOWANCE - PROBE_RESERVE;
   const root = (Math.sqrt(MARGIN_DEVIATIONS ** 2 + 4 * bound) - MARGIN_DEVIATIONS) / 2;
   const means = [allowed, entries * Math.floor(allowed / entries), Math.min(allowed, root ** 2)];
-  return Math.max(...means.filter((mean) => maxTotal(mean, entries) <= bound));
+  return Math.max(...means.filter((mean) => maximumTotal(mean, entries) <= bound));
 }
 
 /**
--- a/packages/kumquatfront/src/backPressure/rateLimitedUpstream.spec.ts
+++ b/packages/kumquatfront/src/backPressure/rateLimitedUpstream.spec.ts
@@ -7,25 +7,25 @@
 import * as test from 'node:test';
 
 import type * as ports from '../kernel/ports.js';
-import * as crashBench from '../quarantine/crashBench.js';
-import * as relayBench from '../relay/relayBench.js';
+import * as crashTestHarness from '../quarantine/crashTestHarness.js';
+import * as relayTestHarness from '../relay/relayTestHarness.js';
 import type * as relayTypes from '../relay/types.js';
 
 /** Time after the first signal from which the limit must be kept. */
 const ENFORCED_AFTER: ports.Milliseconds = 3_000;
 /** Requests of an entry in flight when it receives the signal arrive within this time. */
-const MAX_TRANSIT_TIME: ports.Milliseconds = 500;
+const MAXIMUM_TRANSIT_TIME: ports.Milliseconds = 500;
 /** Window in which an upstream measures its rate, and what it tolerates there. */
 const WINDOW: ports.Milliseconds = 4_000;
 const OVERSHOOT = 1.5;
 const BURST_ALLOWANCE = 5;
 
-function withRateLimit(rateLimit: number): relayTypes.UpstreamHead {
-  return { ...relayBench.soundHead, signals: { rateLimit, leaving: false, unreadable: [] } };
+function withRateLimit(rateLimit: number): relayTypes.ResponseHead {
+  return { ...relayTestHarness.okHead, signals: { rateLimit, leaving: false, unreadable: [] } };
 }
 
 /** Maximum number of arrivals in any window. */
-function maxInWindow(arrivals: readonly crashBench.Arrival[]): number {
+function maximumInWindow(arrivals: readonly crashTestHarness.Arrival[]): number {
   const times = arrivals.map(({ at }) => at);
   return Math.max(
     0,
@@ -38,7 +38,7 @@
 }
 
 /** Maximum number of arrivals in any window from entries that have received the limit. */
-function maxArrivals(harness: crashBench.CrashBench, upstream: string): number {
+function maximumArrivals(harness: crashTestHarness.CrashTestHarness, upstream: string): number {
   const receivedAt = new Map<string, ports.Milliseconds>();
   for (const { head, upstream: from, entry, at } of harness.answers) {
     if (from === upstream && head.signals?.rateLimit !== undefined && !receivedAt.has(entry)) {
@@ -48,7 +48,9 @@
   const from = Math.min(...receivedAt.values()) + ENFORCED_AFTER;
   const counted = harness.arrivals
     .filter((arrival) => arrival.upstream === upstream && arrival.at >= from)
-    .filter(({ entry, at }) => at >= (receivedAt.get(entry) ?? Number.POSITIVE_INFINITY) + MAX_TRANSIT_TIME)
+    .filter(
+      ({ entry, at }) => at >= (receivedAt.get(entry) ?? Number.POSITIVE_INFINITY) + MAXIMUM_TRANSIT_TIME,
+    )
     .map(({ at }) => at);
   return Math.max(
     0,
@@ -58,7 +60,7 @@
 
 for (const service of ['app', 'llm'] as const) {
   void test.test(`all entries together keep the rate limit of an upstream (${service})`, () => {
-    const harness = new crashBench.CrashBench(7, { llm: 4, app: 4 }, () => 'served');
+    const harness = new crashTestHarness.CrashTestHarness(7, { llm: 4, app: 4 }, () => 'served');
     const limits = new Map([
       [`${service}-1`, 1.9],
       [`${service}-2`, 1.4],
@@ -67,7 +69,7 @@
     harness.headOf = (upstream) => withRateLimit(limits.get(upstream) ?? 1_000);
     harness.generateLoad(service, 24, 16_000);
     for (const [upstream, limit] of limits) {
-      const most = maxArrivals(harness, upstream);
+      const most = maximumArrivals(harness, upstream);
       assert.ok(
         most <= allowedBy(limit),
         `${upstream} allows ${limit} a second and received ${most} in four seconds`,
@@ -78,7 +80,7 @@
 
 // If entries did not share the limit, each of the 75 entries would send one request before it learned of it.
 void test.test('many entries keep a limit that only a few of them have received', () => {
-  const harness = new crashBench.CrashBench(75, { llm: 1, app: 4 }, () => 'served');
+  const harness = new crashTestHarness.CrashTestHarness(75, { llm: 1, app: 4 }, () => 'served');
   harness.generateLoad('app', 100, 3_000);
   harness.headOf = (upstream) => withRateLimit(upstream === 'app-1' ? 2 : 1_000);
   const namedAt = harness.time.now();
@@ -86,15 +88,15 @@
   const later = harness.arrivals.filter(
     ({ upstream, at }) => upstream === 'app-1' && at >= namedAt + ENFORCED_AFTER,
   );
-  assert.ok(maxInWindow(later) <= allowedBy(2), `${maxInWindow(later)} in four seconds`);
+  assert.ok(maximumInWindow(later) <= allowedBy(2), `${maximumInWindow(later)} in four seconds`);
   assert.ok(later.length > 0, 'the upstream received no requests at all');
 });
 
 void test.test('all entries send to an upstream again after it has lifted its limit', () => {
-  const harness = new crashBench.CrashBench(7, { llm: 1, app: 2 }, () => 'served');
+  const harness = new crashTestHarness.CrashTestHarness(7, { llm: 1, app: 2 }, () => 'served');
   harness.headOf = (upstream) => withRateLimit(upstream === 'app-1' ? 1 : 1_000);
   harness.generateLoad('app', 24, 8_000);
-  harness.headOf = () => ({ ...relayBench.soundHead, signals: { leaving: false, unreadable: [] } });
+  harness.headOf = () => ({ ...relayTestHarness.okHead, signals: { leaving: false, unreadable: [] } });
   harness.generateLoad('app', 24, 8_000);
   const liftedAt = harness.time.now();
   harness.generateLoad('app', 24, 4_000);
@@ -104,7 +106,7 @@
 
 // No other upstream is left; callers receive a refusal with a retry time immediately.
 void test.test('callers beyond the limit of every upstream are refused immediately', () => {
-  const harness = new crashBench.CrashBench(7, { llm: 1, app: 1 }, () => 'served');
+  const harness = new crashTestHarness.CrashTestHarness(7, { llm: 1, app: 1 }, () => 'served');
   harness.headOf = () => withRateLimit(2);
   harness.generateLoad('app', 10, 10_000);
   const refused = harness.attempts.filter(({ refusal }) => refusal !== undefined);
--- a/packages/kumquatfront/src/backPressure/sendPolicy.spec.ts
+++ b/packages/kumquatfront/src/backPressure/sendPolicy.spec.ts
@@ -5,72 +5,78 @@
 import * as test from 'node:test';
 
 import * as seededRandom from '../adapters/seededRandom.js';
-import * as instanceBench from '../instances/instanceBench.js';
+import * as instanceTestHarness from '../instances/instanceTestHarness.js';
 import * as instanceView from '../instances/instanceView.js';
 import * as timerService from '../kernel/timerService.js';
 import * as virtualTime from '../kernel/virtualTime.js';
-import * as plainExchange from '../relay/plainExchange.js';
-import * as relayBench from '../relay/relayBench.js';
+import * as bufferedExchange from '../relay/bufferedExchange.js';
+import * as relayTestHarness from '../relay/relayTestHarness.js';
 import * as streamExchange from '../relay/streamExchange.js';
 import * as entryShare from '../warmUp/entryShare.js';
 import * as warmUpBounds from '../warmUp/warmUpBounds.js';
 import * as rateLimitShare from './rateLimitShare.js';
-import * as sendRules from './sendRules.js';
-import * as signalBook from './signalBook.js';
+import * as sendPolicy from './sendPolicy.js';
+import * as signalRegistry from './signalRegistry.js';
 import type * as types from './types.js';
 
 const noSignals: types.UpstreamSignals = { leaving: false, unreadable: [] };
 
 /** Delivers an answer with back-pressure signals from an upstream of the harness. */
 function deliverSignals(
-  harness: relayBench.RelayBench,
+  harness: relayTestHarness.RelayTestHarness,
   identity: string,
   signals: types.UpstreamSignals,
 ): void {
   const instance = harness.context.instances.get(identity);
   assert.ok(instance);
-  const { request } = harness.routed('stream');
+  const { request } = harness.createRoutedRequest('stream');
   const nothing = (): void => undefined;
   const listener = { head: nothing, data: nothing, end: nothing, failed: nothing };
   harness.context.upstreams.send({ request, instance, timeLeft: 1_000 }, listener);
-  harness.sent.pop()?.listener.head({ ...relayBench.soundHead, signals });
+  harness.sentCalls.pop()?.listener.head({ ...relayTestHarness.okHead, signals });
 }
 
 void test.test('a placement request lists the excluded engines', () => {
-  const harness = new relayBench.RelayBench(['a', 'b']);
+  const harness = new relayTestHarness.RelayTestHarness(['a', 'b']);
   deliverSignals(harness, 'a', { ...noSignals, rateLimit: 0 });
-  new streamExchange.StreamExchange(harness.context, harness.routed('stream')).start();
-  assert.deepEqual(harness.asked[0]?.excluded, ['a']);
+  new streamExchange.StreamExchange(harness.context, harness.createRoutedRequest('stream')).start();
+  assert.deepEqual(harness.placementRequests[0]?.excluded, ['a']);
 });
 
 void test.test('a generation is refused immediately if every engine is excluded', () => {
-  const harness = new relayBench.RelayBench(['a']);
+  const harness = new relayTestHarness.RelayTestHarness(['a']);
   deliverSignals(harness, 'a', { ...noSignals, rateLimit: 0 });
-  new streamExchange.StreamExchange(harness.context, harness.routed('stream')).start();
-  assert.deepEqual(harness.got, ['refused overloaded']);
-  assert.equal(harness.asked.length, 0);
+  new streamExchange.StreamExchange(harness.context, harness.createRoutedRequest('stream')).start();
+  assert.deepEqual(harness.callerEvents, ['refused overloaded']);
+  assert.equal(harness.placementRequests.length, 0);
 });
 
 // The source stops with the last copy, so a generation that could not be sent afterwards would be lost.
 void test.test('a generation is not moved to an excluded engine', () => {
-  const harness = new relayBench.RelayBench(['a', 'b']);
-  harness.places.push('a');
-  new streamExchange.StreamExchange(harness.context, harness.routed('stream')).start();
-  harness.sent[0]?.listener.head(relayBench.soundHead);
-  harness.sent[0]?.listener.data(relayBench.event(1));
+  const harness = new relayTestHarness.RelayTestHarness(['a', 'b']);
+  harness.placements.push('a');
+  new streamExchange.StreamExchange(harness.context, harness.createRoutedRequest('stream')).start();
+  harness.sentCalls[0]?.listener.head(relayTestHarness.okHead);
+  harness.sentCalls[0]?.listener.data(relayTestHarness.streamEvent(1));
   deliverSignals(harness, 'b', { ...noSignals, rateLimit: 0 });
   assert.equal(harness.move('a', 'b').outcome, 'failed');
-  assert.equal(harness.copies.length, 0);
+  assert.equal(harness.copyRequests.length, 0);
 });
 
 void test.test('a call is sent to another upstream, or refused with a retry time', () => {
-  const harness = new relayBench.RelayBench(['a', 'b']);
+  const harness = new relayTestHarness.RelayTestHarness(['a', 'b']);
   deliverSignals(harness, 'a', { ...noSignals, rateLimit: 0.25 });
-  new plainExchange.PlainExchange(harness.context, harness.routed('nonIdempotent')).start();
-  assert.equal(harness.sent[0]?.call.instance.identity, 'b');
+  new bufferedExchange.BufferedExchange(
+    harness.context,
+    harness.createRoutedRequest('nonIdempotent'),
+  ).start();
+  assert.equal(harness.sentCalls[0]?.call.instance.identity, 'b');
   deliverSignals(harness, 'b', { ...noSignals, rateLimit: 0.25 });
-  new plainExchange.PlainExchange(harness.context, harness.routed('nonIdempotent')).start();
-  assert.equal(harness.sent.length, 1);
+  new bufferedExchange.BufferedExchange(
+    harness.context,
+    harness.createRoutedRequest('nonIdempotent'),
+  ).start();
+  assert.equal(harness.sentCalls.length, 1);
   const refusal = harness.refusals[0];
   assert.equal(refusal?.message, 'every upstream that could take it is at its rate limit');
   assert.ok((refusal.retryAfter ?? 0) >= rateLimitShare.RATE_WINDOW);
@@ -78,86 +84,90 @@
 
 // The coordinator does not know yet; the exchange learns that nothing was sent and uses another engine.
 void test.test('nothing is sent to an engine that has announced its shutdown since it was chosen', () => {
-  const harness = new relayBench.RelayBench(['a', 'b']);
-  new streamExchange.StreamExchange(harness.context, harness.routed('stream')).start();
-  harness.places.push('a', 'b');
+  const harness = new relayTestHarness.RelayTestHarness(['a', 'b']);
+  new streamExchange.StreamExchange(harness.context, harness.createRoutedRequest('stream')).start();
+  harness.placements.push('a', 'b');
   deliverSignals(harness, 'a', { ...noSignals, leaving: true });
-  new streamExchange.StreamExchange(harness.context, harness.routed('stream')).start();
+  new streamExchange.StreamExchange(harness.context, harness.createRoutedRequest('stream')).start();
   harness.time.advance(10);
   assert.deepEqual(
-    harness.sent.map(({ call }) => call.instance.identity),
+    harness.sentCalls.map(({ call }) => call.instance.identity),
     ['b'],
   );
 });
 
 // The source has stopped, so the generation would be lost otherwise.
 void test.test('a generation resumes from its copy on an engine that has asked for a pause since', () => {
-  const harness = new relayBench.RelayBench(['a', 'b']);
-  harness.places.push('a');
-  new streamExchange.StreamExchange(harness.context, harness.routed('stream')).start();
-  harness.sent[0]?.listener.head(relayBench.soundHead);
-  harness.sent[0]?.listener.data(relayBench.event(1));
+  const harness = new relayTestHarness.RelayTestHarness(['a', 'b']);
+  harness.placements.push('a');
+  new streamExchange.StreamExchange(harness.context, harness.createRoutedRequest('stream')).start();
+  harness.sentCalls[0]?.listener.head(relayTestHarness.okHead);
+  harness.sentCalls[0]?.listener.data(relayTestHarness.streamEvent(1));
   harness.move('a', 'b');
-  harness.copies[0]?.done({ state: 'copied', handle: 'first' });
-  harness.sent[0]?.listener.failed('broken', 'stopped');
+  harness.copyRequests[0]?.done({ state: 'copied', handle: 'first' });
+  harness.sentCalls[0]?.listener.failed('broken', 'stopped');
   deliverSignals(harness, 'b', { ...noSignals, pause: 3_000 });
-  harness.copies[1]?.done({ state: 'copied', handle: 'last' });
-  assert.equal(harness.sent[1]?.call.instance.identity, 'b');
+  harness.copyRequests[1]?.done({ state: 'copied', handle: 'last' });
+  assert.equal(harness.sentCalls[1]?.call.instance.identity, 'b');
 });
 
 void test.test(
   'of several pauses the one that ends last applies, and none is longer than half a minute',
   () => {
-    const harness = new relayBench.RelayBench(['a']);
+    const harness = new relayTestHarness.RelayTestHarness(['a']);
     const { rules, instances, timers } = harness.context;
     const instance = instances.get('a');
     assert.ok(instance);
     deliverSignals(harness, 'a', { ...noSignals, pause: 2_000 });
     harness.time.advance(100);
     harness.context.upstreams.send(
-      { request: harness.routed('stream').request, instance, timeLeft: 1_000 },
+      { request: harness.createRoutedRequest('stream').request, instance, timeLeft: 1_000 },
       { head: () => undefined, data: () => undefined, end: () => undefined, failed: () => undefined },
     );
-    assert.equal(rules.holdOf(instance, timers.now())?.until, 2_000);
+    assert.equal(rules.exclusionOf(instance, timers.now())?.until, 2_000);
     harness.time.advance(1_900);
-    assert.equal(rules.holdOf(instance, timers.now()), undefined);
+    assert.equal(rules.exclusionOf(instance, timers.now()), undefined);
     deliverSignals(harness, 'a', { ...noSignals, pause: 31_536_000_000 });
-    assert.equal(rules.holdOf(instance, timers.now())?.until, 32_000);
+    assert.equal(rules.exclusionOf(instance, timers.now())?.until, 32_000);
   },
 );
 
 /** Creates the send policy of one of many entries, where every upstream has a rate limit of 0. */
-function createPolicy(entry: string, entryCount: number, time: virtualTime.VirtualTime): sendRules.SendRules {
+function createPolicy(
+  entry: string,
+  entryCount: number,
+  time: virtualTime.VirtualTime,
+): sendPolicy.SendPolicy {
   const nothing = (): void => undefined;
   const view = new instanceView.InstanceView(nothing);
-  return new sendRules.SendRules({
+  return new sendPolicy.SendPolicy({
     entry,
     random: seededRandom.create(1),
     instances: view,
-    signals: new signalBook.SignalBook({
+    signals: new signalRegistry.SignalRegistry({
       timers: timerService.create(time.clock, time),
       log: { debug: nothing, info: nothing, warn: nothing, error: nothing },
       metrics: { count: nothing, gauge: nothing, timing: nothing },
-      noteNotice: () => true,
-      toldOf: () => ({ perSecond: 0, heardAt: 0 }),
-      tell: nothing,
+      recordTerminationNotice: () => true,
+      publishedRateLimitOf: () => ({ perSecond: 0, receivedAt: 0 }),
+      publishRateLimit: nothing,
     }),
     rateShare: new entryShare.EntryShare(entry, () => entryCount, rateLimitShare.RATE_WINDOW),
     coldShare: new entryShare.EntryShare(entry, () => entryCount, warmUpBounds.COLD_WINDOW),
-    toleratedBy: () => undefined,
+    warmUpLimitOf: () => undefined,
   });
 }
 
 // With a limit of 0 no entry has a share, so none would learn that the limit was lifted.
 void test.test('entries without a share probe occasionally whether a limit was lifted', () => {
   const time = new virtualTime.VirtualTime();
-  const instance = { ...instanceBench.announcement('a'), firstAt: 0, coldUntil: 0 };
+  const instance = { ...instanceTestHarness.announcement('a'), firstSeenAt: 0, coldUntil: 0 };
   const ENTRIES = 75;
   const all = Array.from({ length: ENTRIES }, (_, index) => createPolicy(`edge-${index}`, ENTRIES, time));
   const probes: number[] = [];
   for (let second = 0; second < 600; second += 1) {
     for (const rules of all) {
-      if (rules.holdOf(instance, time.now()) === undefined) {
+      if (rules.exclusionOf(instance, time.now()) === undefined) {
         rules.recordSent(instance, time.now());
         probes.push(time.now());
       }
--- a/packages/kumquatfront/src/backPressure/sendRules.ts
+++ b/packages/kumquatfront/src/backPressure/sendPolicy.ts
@@ -4,10 +4,10 @@
  */
 import * as instanceView from '../instances/instanceView.js';
 import type * as ports from '../kernel/ports.js';
-import * as rendezvous from '../utils/rendezvous.js';
+import * as rendezvousHashing from '../utils/rendezvousHashing.js';
 import type * as entryShare from '../warmUp/entryShare.js';
 import * as rateLimitShare from './rateLimitShare.js';
-import type * as signalBook from './signalBook.js';
+import type * as signalRegistry from './signalRegistry.js';
 
 /** Reason for which an upstream is temporarily excluded. */
 export type ExclusionReason = 'evacuated' | 'leaving' | 'paused' | 'rateLimited' | 'cold';
@@ -21,7 +21,7 @@
 
 /** Error messages for callers whose request was refused because every upstream is excluded. */
 const MESSAGES: Readonly<Record<ExclusionReason, string>> = {
-  evacuated: instanceView.EVACUATED,
+  evacuated: instanceView.EVACUATED_MESSAGE,
   leaving: 'every upstream that could take it is shutting down',
   paused: 'every upstream that could take it has asked for a pause',
   rateLimited: 'every upstream that could take it is at its rate limit',
@@ -43,17 +43,17 @@
   readonly entry: string;
   readonly random: ports.Random;
   readonly instances: instanceView.InstanceView;
-  readonly signals: signalBook.SignalBook;
+  readonly signals: signalRegistry.SignalRegistry;
   /** Share of this entry in the limits of rate-limited upstreams, over `rateLimitShare.RATE_WINDOW`. */
   readonly rateShare: entryShare.EntryShare;
   /** Share of this entry in the warm-up limits of cold upstreams, over one second. */
   readonly coldShare: entryShare.EntryShare;
   /** Requests per second that all entries together may send to a cold upstream of a service; undefined if unlimited. */
-  readonly toleratedBy: (service: string) => number | undefined;
+  readonly warmUpLimitOf: (service: string) => number | undefined;
 }
 
 /** Decides whether upstreams may be sent requests; see the module comment. */
-export class SendRules {
+export class SendPolicy {
   private readonly options: SendPolicyOptions;
   /** Time of the next probe of this entry for a lifted rate limit, by upstream. */
   private readonly nextProbeAt = new Map<string, ports.Milliseconds>();
@@ -63,12 +63,12 @@
   }
 
   /** Exclusion that applies to every send to an upstream, whoever chose it; undefined if requests may be sent. */
-  holdOf(instance: instanceView.Instance, now: ports.Milliseconds): Exclusion | undefined {
+  exclusionOf(instance: instanceView.Instance, now: ports.Milliseconds): Exclusion | undefined {
     const { instances, signals } = this.options;
     if (instances.isEvacuated(instance)) {
       return { reason: 'evacuated' };
     }
-    if (instances.hasGivenNotice(instance.identity)) {
+    if (instances.isTerminating(instance.identity)) {
       return { reason: 'leaving' };
     }
     const pausedUntil = signals.pausedUntil(instance.identity);
@@ -82,8 +82,8 @@
    * Exclusion that applies when this entry chooses an upstream itself; undefined if it may be chosen. Includes the
    * warm-up limit, which the coordinator enforces for the requests that it places.
    */
-  holdOfChoice(instance: instanceView.Instance, now: ports.Milliseconds): Exclusion | undefined {
-    return this.holdOf(instance, now) ?? this.warmUpExclusionOf(instance, now);
+  exclusionFromChoice(instance: instanceView.Instance, now: ports.Milliseconds): Exclusion | undefined {
+    return this.exclusionOf(instance, now) ?? this.warmUpExclusionOf(instance, now);
   }
 
   /**
@@ -93,10 +93,13 @@
    * @param now - current time
    * @returns the exclusion; undefined if a candidate may be chosen, or there are none
    */
-  holdOfAll(candidates: readonly instanceView.Instance[], now: ports.Milliseconds): Exclusion | undefined {
+  exclusionOfAll(
+    candidates: readonly instanceView.Instance[],
+    now: ports.Milliseconds,
+  ): Exclusion | undefined {
     let first: Exclusion | undefined;
     for (const instance of candidates) {
-      const exclusion = this.holdOfChoice(instance, now);
+      const exclusion = this.exclusionFromChoice(instance, now);
       if (exclusion === undefined) {
         return undefined;
       }
@@ -173,13 +176,13 @@
     if (nextProbe !== undefined) {
       return now >= nextProbe;
     }
-    const spread = rendezvous.hash(`${identity} ${this.options.entry}`) / HASH_RANGE;
+    const spread = rendezvousHashing.hash(`${identity} ${this.options.entry}`) / HASH_RANGE;
     this.nextProbeAt.set(identity, now + spread * rateLimitShare.probeInterval(entries));
     return false;
   }
 
   private warmUpExclusionOf(instance: instanceView.Instance, now: ports.Milliseconds): Exclusion | undefined {
-    const { coldShare, toleratedBy } = this.options;
+    const { coldShare, warmUpLimitOf: toleratedBy } = this.options;
     const { identity, coldUntil, service } = instance;
     const tolerated = now < coldUntil ? toleratedBy(service) : undefined;
     if (tolerated === undefined || coldShare.maySend(identity, tolerated, now)) {
--- a/packages/kumquatfront/src/backPressure/signalRegistry.spec.ts
+++ b/packages/kumquatfront/src/backPressure/signalRegistry.spec.ts
@@ -4,15 +4,19 @@
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
 
-import * as instanceBench from '../instances/instanceBench.js';
+import * as instanceTestHarness from '../instances/instanceTestHarness.js';
 import type * as instanceView from '../instances/instanceView.js';
 import type * as ports from '../kernel/ports.js';
 import * as timerService from '../kernel/timerService.js';
 import * as virtualTime from '../kernel/virtualTime.js';
-import * as signalBook from './signalBook.js';
+import * as signalRegistry from './signalRegistry.js';
 import type * as types from './types.js';
 
-const instance: instanceView.Instance = { ...instanceBench.announcement('a'), firstAt: 0, coldUntil: 0 };
+const instance: instanceView.Instance = {
+  ...instanceTestHarness.announcement('a'),
+  firstSeenAt: 0,
+  coldUntil: 0,
+};
 
 const noSignals: types.UpstreamSignals = { leaving: false, unreadable: [] };
 
@@ -22,7 +26,7 @@
 
 /** Creates a registry that records its log events and publications; `others` holds the limit from other entries. */
 function createRegistry(): {
-  registry: signalBook.SignalBook;
+  registry: signalRegistry.SignalRegistry;
   time: virtualTime.VirtualTime;
   events: string[];
   publications: (number | undefined)[];
@@ -35,13 +39,13 @@
   const nothing = (): void => undefined;
   const write = (event: string): number => events.push(event);
   const log: ports.Log = { debug: nothing, info: write, warn: write, error: write };
-  const registry = new signalBook.SignalBook({
+  const registry = new signalRegistry.SignalRegistry({
     timers: timerService.create(time.clock, time),
     log,
     metrics: { count: nothing, gauge: nothing, timing: nothing },
-    noteNotice: () => true,
-    toldOf: () => others.published,
-    tell: (_identity, perSecond) => publications.push(perSecond),
+    recordTerminationNotice: () => true,
+    publishedRateLimitOf: () => others.published,
+    publishRateLimit: (_identity, perSecond) => publications.push(perSecond),
   });
   return { registry, time, events, publications, others };
 }
@@ -61,11 +65,11 @@
 void test.test('the newer of the local limit and the limit from other entries applies', () => {
   const { registry, time, others } = createRegistry();
   time.advance(1_000);
-  others.published = { perSecond: 3, heardAt: 500 };
+  others.published = { perSecond: 3, receivedAt: 500 };
   assert.equal(registry.rateLimitOf('a'), 3);
   registry.applySignals(instance, withRateLimit(2), 900);
   assert.equal(registry.rateLimitOf('a'), 2);
-  others.published = { perSecond: undefined, heardAt: 1_200 };
+  others.published = { perSecond: undefined, receivedAt: 1_200 };
   assert.equal(registry.rateLimitOf('a'), undefined);
 });
 
@@ -79,13 +83,13 @@
       registry.applySignals(instance, withRateLimit(perSecond), time.now());
     }
     assert.deepEqual(publications, [2]);
-    others.published = { perSecond: 2, heardAt: 1_000 };
+    others.published = { perSecond: 2, receivedAt: 1_000 };
     time.advance(2_000);
     registry.applySignals(instance, withRateLimit(1.95), time.now());
     assert.deepEqual(publications, [2]);
     registry.applySignals(instance, withRateLimit(1), time.now());
     assert.deepEqual(publications, [2, 1]);
-    others.published = { perSecond: 1, heardAt: 3_000 };
+    others.published = { perSecond: 1, receivedAt: 3_000 };
     time.advance(2_000);
     registry.applySignals(instance, noSignals, time.now());
     assert.deepEqual(publications, [2, 1, undefined]);
@@ -128,15 +132,15 @@
   const { registry, time } = createRegistry();
   time.advance(1_000);
   registry.applySignals(instance, withRateLimit(2), 900);
-  registry.onInstance({ instance, event: 'gone' });
+  registry.onInstanceChange({ instance, event: 'gone' });
   time.advance(5_000);
-  registry.onInstance({ instance, event: 'found' });
+  registry.onInstanceChange({ instance, event: 'found' });
   time.advance(120_000);
   assert.equal(registry.rateLimitOf('a'), 2);
-  registry.onInstance({ instance, event: 'replaced' });
+  registry.onInstanceChange({ instance, event: 'replaced' });
   assert.equal(registry.rateLimitOf('a'), undefined);
   registry.applySignals(instance, withRateLimit(2), time.now());
-  registry.onInstance({ instance, event: 'gone' });
+  registry.onInstanceChange({ instance, event: 'gone' });
   time.advance(120_000);
   assert.equal(registry.rateLimitOf('a'), undefined);
 });
--- a/packages/kumquatfront/src/backPressure/signalBook.ts
+++ b/packages/kumquatfront/src/backPressure/signalRegistry.ts
@@ -7,7 +7,7 @@
 import type * as types from './types.js';
 
 /** Upper bound of the pause that one answer can request. */
-const MAX_PAUSE: ports.Milliseconds = 30_000;
+const MAXIMUM_PAUSE: ports.Milliseconds = 30_000;
 
 const EXPIRY_INTERVAL: ports.Milliseconds = 1_000;
 
@@ -18,7 +18,7 @@
 const GONE_RETENTION: ports.Milliseconds = 60_000;
 
 /** Maximum number of unreadable signals remembered to log each only once; further ones are not logged. */
-const MAX_UNREADABLE = 1_000;
+const MAXIMUM_UNREADABLE = 1_000;
 
 /**
  * Relative difference up to which two limits count as equal, so that small fluctuations are not logged or published.
@@ -26,7 +26,7 @@
 const SIMILARITY_TOLERANCE = 0.1;
 
 /** Minimum time between two publications of the limit of one upstream. */
-const MIN_PUBLISH_INTERVAL: ports.Milliseconds = 2_000;
+const MINIMUM_PUBLISH_INTERVAL: ports.Milliseconds = 2_000;
 
 /** Dependencies and callbacks of the registry. */
 export interface SignalRegistryOptions {
@@ -34,11 +34,11 @@
   readonly log: ports.Log;
   readonly metrics: ports.Metrics;
   /** Records the termination notice of an upstream; returns true if it was not known before. */
-  readonly noteNotice: (identity: string) => boolean;
+  readonly recordTerminationNotice: (identity: string) => boolean;
   /** Rate limit of an upstream as received by other entries and published by control. */
-  readonly toldOf: (identity: string) => types.KnownRateLimit | undefined;
+  readonly publishedRateLimitOf: (identity: string) => types.KnownRateLimit | undefined;
   /** Publishes the rate limit of an upstream to other entries; undefined if it was lifted. */
-  readonly tell: (identity: string, perSecond: number | undefined) => void;
+  readonly publishRateLimit: (identity: string, perSecond: number | undefined) => void;
 }
 
 function isSimilar(one: number | undefined, other: number | undefined): boolean {
@@ -49,7 +49,7 @@
 }
 
 /** Stores back-pressure signals by upstream; see the module comment. */
-export class SignalBook {
+export class SignalRegistry {
   private readonly options: SignalRegistryOptions;
   private readonly pauses = new Map<string, ports.Milliseconds>();
   private readonly rateLimits = new Map<string, types.KnownRateLimit>();
@@ -89,7 +89,7 @@
       this.liftRateLimit(instance, sentAt);
     }
     this.publishIfChanged(instance.identity);
-    if (leaving && this.options.noteNotice(instance.identity)) {
+    if (leaving && this.options.recordTerminationNotice(instance.identity)) {
       this.logEvent(instance, 'upstreamLeaving', {});
     }
     for (const signal of unreadable) {
@@ -110,14 +110,14 @@
   /** The newer of the limits received by this entry and by other entries. */
   private latestRateLimit(identity: string): types.KnownRateLimit | undefined {
     const local = this.rateLimits.get(identity);
-    const published = this.options.toldOf(identity);
+    const published = this.options.publishedRateLimitOf(identity);
     const isPublishedNewer =
-      published !== undefined && (local === undefined || published.heardAt > local.heardAt);
+      published !== undefined && (local === undefined || published.receivedAt > local.receivedAt);
     return isPublishedNewer ? published : local;
   }
 
   /** Handles a change of an instance. After a restart, signals of the previous start no longer apply. */
-  onInstance({ instance, event }: instanceView.InstanceChange): void {
+  onInstanceChange({ instance, event }: instanceView.InstanceChange): void {
     const { identity } = instance;
     if (event === 'replaced') {
       this.forget(identity);
@@ -139,7 +139,7 @@
     const { identity } = instance;
     const now = this.options.timers.now();
     const until = this.pausedUntil(identity);
-    const length = Math.min(pause, MAX_PAUSE);
+    const length = Math.min(pause, MAXIMUM_PAUSE);
     this.pauses.set(identity, Math.max(until, now + length));
     if (until <= now) {
       this.logEvent(instance, 'upstreamPaused', { for: Math.round(length), asked: Math.round(pause) });
@@ -148,7 +148,7 @@
 
   private applyRateLimit(instance: instanceView.Instance, perSecond: number): void {
     const before = this.rateLimitOf(instance.identity);
-    this.rateLimits.set(instance.identity, { perSecond, heardAt: this.options.timers.now() });
+    this.rateLimits.set(instance.identity, { perSecond, receivedAt: this.options.timers.now() });
     if (!isSimilar(perSecond, before)) {
       this.logEvent(instance, 'upstreamRateLimited', { perSecond, before });
     }
@@ -159,22 +159,22 @@
    */
   private liftRateLimit(instance: instanceView.Instance, sentAt: ports.Milliseconds): void {
     const known = this.latestRateLimit(instance.identity);
-    if (known?.perSecond !== undefined && sentAt >= known.heardAt) {
-      this.rateLimits.set(instance.identity, { perSecond: undefined, heardAt: this.options.timers.now() });
+    if (known?.perSecond !== undefined && sentAt >= known.receivedAt) {
+      this.rateLimits.set(instance.identity, { perSecond: undefined, receivedAt: this.options.timers.now() });
       this.logEvent(instance, 'upstreamRateLimitLifted', { before: known.perSecond });
     }
   }
 
   /** Publishes the limit to other entries; an entry without a share would not learn of its change otherwise. */
   private publishIfChanged(identity: string): void {
-    const { timers, toldOf: publishedRateLimitOf, tell: publishRateLimit } = this.options;
+    const { timers, publishedRateLimitOf, publishRateLimit } = this.options;
     const local = this.rateLimits.get(identity);
     const published = publishedRateLimitOf(identity)?.perSecond;
     const now = timers.now();
     if (local === undefined || isSimilar(local.perSecond, published)) {
       return;
     }
-    if (now - (this.publishedAt.get(identity) ?? Number.NEGATIVE_INFINITY) >= MIN_PUBLISH_INTERVAL) {
+    if (now - (this.publishedAt.get(identity) ?? Number.NEGATIVE_INFINITY) >= MINIMUM_PUBLISH_INTERVAL) {
       this.publishedAt.set(identity, now);
       publishRateLimit(identity, local.perSecond);
     }
@@ -182,7 +182,7 @@
 
   private logUnreadable(instance: instanceView.Instance, { name, value }: types.UnreadableSignal): void {
     const key = `${instance.identity} ${name}`;
-    if (this.unreadable.has(key) || this.unreadable.size >= MAX_UNREADABLE) {
+    if (this.unreadable.has(key) || this.unreadable.size >= MAXIMUM_UNREADABLE) {
       return;
     }
     this.unreadable.add(key);
--- a/packages/kumquatfront/src/backPressure/types.ts
+++ b/packages/kumquatfront/src/backPressure/types.ts
@@ -25,5 +25,5 @@
   /** Requests per second from all senders together; undefined if the limit was lifted. */
   readonly perSecond: number | undefined;
   /** Time of the answer that set or lifted the limit. */
-  readonly heardAt: ports.Milliseconds;
+  readonly receivedAt: ports.Milliseconds;
 }
--- a/packages/kumquatfront/src/client/callerClient.ts
+++ b/packages/kumquatfront/src/client/callerClient.ts
@@ -152,7 +152,7 @@
       if (attempt.type === 'refused') {
         lastFailure = attempt.failure;
         // Before the first token there is nothing to discard, so a retry is allowed without the restart option.
-        const mayRestart = this.options.restart || state.tokens === 0;
+        const mayRestart = this.options.allowRestart || state.tokens === 0;
         const mayRetry = lastFailure.kind === 'notRun' || (lastFailure.kind === 'interrupted' && mayRestart);
         if (!mayRetry) {
           return results.Err(lastFailure);
@@ -230,11 +230,11 @@
     let lastReceivedAt = this.clock.now();
     let cancel: ports.Cancel = () => undefined;
     const check = (): void => {
-      if (this.clock.now() - lastReceivedAt > this.options.silenceLimit) {
+      if (this.clock.now() - lastReceivedAt > this.options.idleTimeout) {
         abortController.abort();
         return;
       }
-      cancel = this.scheduler.after(this.options.silenceLimit / 4, check);
+      cancel = this.scheduler.after(this.options.idleTimeout / 4, check);
     };
     check();
     return {
@@ -343,10 +343,10 @@
         `${await this.entryAddresses.currentEntry()}/v1/services/${service}${path}`,
         {
           dispatcher: this.agent,
-          method: method,
+          method,
           headers,
           body: method === 'GET' ? undefined : body,
-          signal: AbortSignal.timeout(this.options.silenceLimit),
+          signal: AbortSignal.timeout(this.options.idleTimeout),
         },
       );
       const text = await response.body.text();
--- a/packages/kumquatfront/src/client/types.ts
+++ b/packages/kumquatfront/src/client/types.ts
@@ -10,11 +10,11 @@
   /** Labels sent with every request, such as `traffic=report`. */
   readonly labels: string;
   /** Time without received data after which another entry is tried. */
-  readonly silenceLimit: number;
+  readonly idleTimeout: number;
   /** Time after which no further attempt is made. */
   readonly deadline: number;
   /** Whether an interrupted generation may be restarted from the beginning. */
-  readonly restart: boolean;
+  readonly allowRestart: boolean;
 }
 
 /** Statistics of a completed stream. */
--- a/packages/kumquatfront/src/configuration/configurationReplica.spec.ts
+++ b/packages/kumquatfront/src/configuration/configurationReplica.spec.ts
@@ -88,7 +88,7 @@
   assert.ok(harness.pendingPulls.length >= 2);
   harness.answer(1, delta(9));
   harness.answer(0, delta(5));
-  assert.equal(harness.replica.inForce, 9);
+  assert.equal(harness.replica.versionInForce, 9);
   assert.equal(harness.replica.find('market', 'm')?.labels.region, 'v9');
 });
 
@@ -100,7 +100,7 @@
   harness.answer(0, delta(9));
   harness.tick();
   harness.answer(harness.pendingPulls.length - 1, delta(99, 'another cluster', 'foreign'));
-  assert.equal(harness.replica.inForce, 9);
+  assert.equal(harness.replica.versionInForce, 9);
   assert.equal(harness.replica.find('market', 'm')?.labels.region, 'v9');
 });
 
--- a/packages/kumquatfront/src/configuration/configurationReplica.ts
+++ b/packages/kumquatfront/src/configuration/configurationReplica.ts
@@ -66,7 +66,7 @@
   }
 
   /** Version of the configuration in force; -1 before the first answer from a leader. */
-  get inForce(): number {
+  get versionInForce(): number {
     return this.version;
   }
 
@@ -86,7 +86,7 @@
   }
 
   /** Returns all objects of the configuration in force. */
-  all(): readonly types.ConfigurationObject[] {
+  listObjects(): readonly types.ConfigurationObject[] {
     return [...this.objects.values()];
   }
 
@@ -217,7 +217,7 @@
       return { fresh: canAnswer, age };
     }
     const { clusterIdentity, version, evacuations } = this;
-    const delta = { clusterIdentity, version, whole: true, objects: this.all(), deleted: [] };
+    const delta = { clusterIdentity, version, whole: true, objects: this.listObjects(), deleted: [] };
     return {
       fresh: canAnswer,
       age,
--- a/packages/kumquatfront/src/configuration/validation.ts
+++ b/packages/kumquatfront/src/configuration/validation.ts
@@ -124,7 +124,7 @@
     return results.Err(failures.create('badInput', `The name "${draft.name}" is not allowed.`, remedy));
   }
   if (!validate(draft.body)) {
-    return results.Err(schemaFailures.describe(`${draft.kind} ${draft.name}`, validate.errors ?? []));
+    return results.Err(schemaFailures.fromErrors(`${draft.kind} ${draft.name}`, validate.errors ?? []));
   }
   return results.Ok(draft);
 }
--- a/packages/kumquatfront/src/consensus/powerLoss.spec.ts
+++ b/packages/kumquatfront/src/consensus/powerLoss.spec.ts
@@ -37,7 +37,7 @@
 const START_WINDOW: ports.Milliseconds = 450;
 
 /** Maximum delay of a message until its receiver has run for `STARTUP_DURATION`. */
-const MAX_MESSAGE_DELAY: ports.Milliseconds = 100;
+const MAXIMUM_MESSAGE_DELAY: ports.Milliseconds = 100;
 const STARTUP_DURATION: ports.Milliseconds = 900;
 const DISK_SYNC_DELAY: ports.Milliseconds = 4;
 
@@ -107,7 +107,7 @@
       return;
     }
     const now = this.time.now();
-    const delay = now - started < STARTUP_DURATION ? this.random.next() * MAX_MESSAGE_DELAY : 0;
+    const delay = now - started < STARTUP_DURATION ? this.random.next() * MAXIMUM_MESSAGE_DELAY : 0;
     const handledAt = Math.max(now + delay, this.busyUntil.get(name) ?? 0);
     this.busyUntil.set(name, handledAt);
     this.time.after(handledAt - now, () => {
@@ -152,7 +152,7 @@
 });
 
 /** Three delayed round trips (probe, vote, first append), two probe intervals and the disk syncs. */
-const MAX_TIME_TO_LEADER: ports.Milliseconds = 6 * MAX_MESSAGE_DELAY + 2 * 60 + 80;
+const MAXIMUM_TIME_TO_LEADER: ports.Milliseconds = 6 * MAXIMUM_MESSAGE_DELAY + 2 * 60 + 80;
 
 // Requests are refused until a leader is elected. The election must not wait for an election timeout.
 void test.test('a leader is elected soon after the last voter has started', () => {
@@ -160,5 +160,5 @@
     (left, right) => left - right,
   );
   const percentile = durations[Math.floor(durations.length * 0.95)] ?? Number.POSITIVE_INFINITY;
-  assert.ok(percentile <= MAX_TIME_TO_LEADER, `95th percentile: ${percentile} ms`);
+  assert.ok(percentile <= MAXIMUM_TIME_TO_LEADER, `95th percentile: ${percentile} ms`);
 });
--- a/packages/kumquatfront/src/consensus/replica.ts
+++ b/packages/kumquatfront/src/consensus/replica.ts
@@ -82,7 +82,7 @@
   }
 
   /** Bootstraps a cluster with this replica as its only member. */
-  found(clusterIdentity: string, member: types.Member): void {
+  bootstrapCluster(clusterIdentity: string, member: types.Member): void {
     const { store, clock } = this.options;
     store.setHardState({ clusterIdentity, term: 1, votedFor: store.identity });
     const payload: types.LogPayload = { type: 'members', members: [{ ...member, role: 'voter' }] };
@@ -93,7 +93,7 @@
   }
 
   /** Starts accepting messages of a cluster; called after a member has answered the join request. */
-  adopt(clusterIdentity: string): void {
+  joinCluster(clusterIdentity: string): void {
     const { store } = this.options;
     if (store.hardState.clusterIdentity === '') {
       store.setHardState({ clusterIdentity, term: 0, votedFor: '' });
@@ -227,12 +227,12 @@
   }
 
   /** Time since the last contact from a leader; 0 if this replica is the leader. */
-  silentFor(): ports.Milliseconds {
+  timeSinceLeaderContact(): ports.Milliseconds {
     return this.leadership === undefined ? this.options.timers.now() - this.lastLeaderContactAt : 0;
   }
 
   /** Time since this replica became leader; 0 if it is not the leader. */
-  leadsFor(): ports.Milliseconds {
+  leadershipDuration(): ports.Milliseconds {
     return this.leadership?.duration() ?? 0;
   }
 
--- a/packages/kumquatfront/src/controlNode/controlNode.ts
+++ b/packages/kumquatfront/src/controlNode/controlNode.ts
@@ -16,10 +16,10 @@
 import * as results from '../kernel/results.js';
 import * as serviceRegistry from '../kernel/serviceRegistry.js';
 import * as timerService from '../kernel/timerService.js';
-import * as entryOrderPort from '../orders/entryOrderPort.js';
-import * as orderDesk from '../orders/orderDesk.js';
+import * as orderForwarder from '../orders/orderForwarder.js';
+import * as orderDispatcher from '../orders/orderDispatcher.js';
 import type * as orders from '../orders/types.js';
-import type * as mechanisms from '../placement/mechanisms.js';
+import type * as placementFeatures from '../placement/placementFeatures.js';
 import type * as residency from '../traffic/residency.js';
 import type * as trafficTypes from '../traffic/types.js';
 import * as trafficControl from '../trafficControl/trafficControl.js';
@@ -42,7 +42,7 @@
   /** Time without a pull after which an entry no longer counts as running. */
   readonly entryLease: number;
   /** False if a cluster already exists, so that this replica may only join it; default true. */
-  readonly mayFound?: boolean;
+  readonly mayBootstrap?: boolean;
   /** Number of control VMs that may be lost at the same time; default 1. */
   readonly toleratedLosses?: number;
   /** Region of each data centre, by name; if absent, any data centre may be evacuated. */
@@ -50,7 +50,7 @@
   /** How far the combined traffic to a cold upstream may exceed its limit; default not at all. */
   readonly warmUpTolerance?: warmUpBounds.WarmUpTolerance;
   /** Placement features in use; default all. */
-  readonly isOn?: mechanisms.IsOn;
+  readonly isEnabled?: placementFeatures.IsEnabled;
 }
 
 /** Ports of a control replica. */
@@ -68,7 +68,7 @@
   readonly state: agreedState.AgreedState;
   readonly replica: replica.Replica;
   readonly membership: membership.Membership;
-  readonly orders: orderDesk.OrderDesk;
+  readonly orders: orderDispatcher.OrderDispatcher;
   readonly traffic: trafficControl.TrafficControl;
 }
 
@@ -76,11 +76,11 @@
 export interface ControlNode {
   readonly services: serviceRegistry.ServiceRegistry<ControlServices>;
   /** Evacuates or restores a data centre; succeeds only on the leader. */
-  orderDataCentre(command: agreedTypes.DataCentreCommand, done: ports.Reply): void;
+  evacuateOrRestore(command: agreedTypes.DataCentreCommand, done: ports.Reply): void;
   /** Changes the configuration; succeeds only on the leader. */
   configure(command: agreedTypes.ConfigureCommand, done: ports.Reply): void;
   /** Reads the objects of a kind, or one by name; fails if this replica may be out of date. */
-  read(
+  readObjects(
     kind: string,
     name: string | undefined,
   ): results.Result<readonly configuration.ConfigurationObject[], failures.Failure>;
@@ -138,7 +138,7 @@
       machine: {
         apply: (command, index, stamp) => {
           const answer = state.apply(command as agreedTypes.Command, index, stamp);
-          this.traffic?.applied();
+          this.traffic?.onCommandApplied();
           return answer;
         },
         takeSnapshot: () => state.toJson(),
@@ -150,11 +150,11 @@
         peers.notify(address, methods.methods.consensus, message);
       },
     });
-    const desk = new orderDesk.OrderDesk({
+    const desk = new orderDispatcher.OrderDispatcher({
       settings: settings.orders,
       replica: this.replica,
       state,
-      port: externalPorts.orders ?? entryOrderPort.create(peers, random, () => this.liveEntries()),
+      port: externalPorts.orders ?? orderForwarder.create(peers, random, () => this.liveEntries()),
       timers: this.timers,
       log,
     });
@@ -181,7 +181,7 @@
       regions = new Map<string, string>(),
       control,
       toleratedLosses = 1,
-      isOn,
+      isEnabled,
     } = this.settings;
     const { warmUpTolerance = warmUpBounds.strictTolerance } = this.settings;
     return new trafficControl.TrafficControl({
@@ -199,13 +199,20 @@
       warmUpTolerance,
       leastVoters: Math.min(2 * toleratedLosses + 1, control.length),
       wantedVoters: 2 * toleratedLosses + 1,
-      isGathering: () => this.services.find('membership').hasPendingVoter(),
-      ...(isOn !== undefined && { isOn }),
+      hasPendingVoter: () => this.services.find('membership').hasPendingVoter(),
+      ...(isEnabled !== undefined && { isEnabled }),
     });
   }
 
   private createMembership(externalPorts: ControlPorts, identity: string): membership.Membership {
-    const { name, dataCentre, peerAddress, control, mayFound = true, toleratedLosses = 1 } = this.settings;
+    const {
+      name,
+      dataCentre,
+      peerAddress,
+      control,
+      mayBootstrap = true,
+      toleratedLosses = 1,
+    } = this.settings;
     const { peers, random, log } = externalPorts;
     const own = this.replica;
     return new membership.Membership({
@@ -219,7 +226,7 @@
       timers: this.timers,
       random,
       log,
-      mayBootstrap: mayFound,
+      mayBootstrap,
       toleratedLosses,
     });
   }
@@ -268,7 +275,7 @@
    * Accepts only data centres in which an entry or a control replica runs, or which are already evacuated. Control
    * has no configured list of data centres, and upstreams announce themselves to entries.
    */
-  orderDataCentre(command: agreedTypes.DataCentreCommand, done: ports.Reply): void {
+  evacuateOrRestore(command: agreedTypes.DataCentreCommand, done: ports.Reply): void {
     const { dataCentre } = command;
     const knownDataCentres = new Set([
       this.settings.dataCentre,
@@ -350,7 +357,7 @@
     return [...this.lastSeenEntries.values()].map((entry) => entry.presence);
   }
 
-  read(
+  readObjects(
     kind: string,
     name: string | undefined,
   ): results.Result<readonly configuration.ConfigurationObject[], failures.Failure> {
--- a/packages/kumquatfront/src/controlNode/membership.ts
+++ b/packages/kumquatfront/src/controlNode/membership.ts
@@ -115,7 +115,7 @@
   }
 
   /** Replaces the addresses at which other control replicas are discovered. */
-  setControl(controlAddresses: readonly string[]): void {
+  setControlAddresses(controlAddresses: readonly string[]): void {
     this.controlAddresses = controlAddresses;
   }
 
@@ -128,7 +128,7 @@
 
   private joinOrBootstrap(): void {
     const { peers, replica: own } = this.options;
-    const hasLostLeader = own.silentFor() > LEADER_CONTACT_TIMEOUT;
+    const hasLostLeader = own.timeSinceLeaderContact() > LEADER_CONTACT_TIMEOUT;
     if (this.isMember() && !hasLostLeader) {
       return;
     }
@@ -170,7 +170,7 @@
     const isFirst = [...this.controlAddresses].sort()[0] === peerAddress;
     if (mayBootstrap && answers.length === expected && isFirst && own.status().clusterIdentity === '') {
       this.options.log.info('clusterFounded', { identity });
-      own.found(random.identity(), {
+      own.bootstrapCluster(random.identity(), {
         identity,
         name,
         address: peerAddress,
@@ -208,7 +208,7 @@
       for (const member of answer.members) {
         own.replyAddresses.set(member.identity, member.address);
       }
-      own.adopt(answer.clusterIdentity);
+      own.joinCluster(answer.clusterIdentity);
     });
   }
 
@@ -342,7 +342,7 @@
             ? REPLACED_VOTER_TIMEOUT
             : voterTimeout),
     );
-    if (unresponsive === undefined || own.leadsFor() < VOTER_REMOVAL_TIMEOUT) {
+    if (unresponsive === undefined || own.leadershipDuration() < VOTER_REMOVAL_TIMEOUT) {
       return;
     }
     own.changeMembers(
--- a/packages/kumquatfront/src/directory/directory.ts
+++ b/packages/kumquatfront/src/directory/directory.ts
@@ -6,7 +6,7 @@
 import type * as ports from '../kernel/ports.js';
 import * as results from '../kernel/results.js';
 import type * as timerService from '../kernel/timerService.js';
-import * as caseAge from '../quarantine/caseAge.js';
+import * as crashRecordAge from '../quarantine/crashRecordAge.js';
 import type * as quarantineTypes from '../quarantine/types.js';
 import * as publicationStore from './publicationStore.js';
 import type * as types from './types.js';
@@ -63,7 +63,7 @@
   private presencePublishedAt = Number.NEGATIVE_INFINITY;
   private readonly updateListeners: (() => void)[] = [];
   private readonly expiryListeners: ((name: string) => void)[] = [];
-  private readonly crashRecordListeners: ((record: quarantineTypes.CaseRecord) => void)[] = [];
+  private readonly crashRecordListeners: ((record: quarantineTypes.CrashRecord) => void)[] = [];
 
   constructor(options: DirectoryOptions) {
     this.options = options;
@@ -106,29 +106,29 @@
   }
 
   /** Registers a listener for updates of upstreams and entries. */
-  onNews(listener: () => void): void {
+  onUpdate(listener: () => void): void {
     this.updateListeners.push(listener);
   }
 
   /** Registers a listener for the names of upstreams whose lease has expired. */
-  onGone(listener: (name: string) => void): void {
+  onUpstreamExpired(listener: (name: string) => void): void {
     this.expiryListeners.push(listener);
   }
 
   /** Registers a listener for crash records from other entries. */
-  onCase(listener: (record: quarantineTypes.CaseRecord) => void): void {
+  onCrashRecord(listener: (record: quarantineTypes.CrashRecord) => void): void {
     this.crashRecordListeners.push(listener);
   }
 
   /** Publishes a crash record and pushes it to every entry at once. */
-  publishCase(record: quarantineTypes.CaseRecord): void {
+  publishCrashRecord(record: quarantineTypes.CrashRecord): void {
     const { name, incarnation } = this.options;
     const value: types.PublishedValue = { type: 'case', record };
     this.push([this.store.publish(name, incarnation, keyOf(value), value, this.now())]);
   }
 
   /** Applies an update that an upstream posted to this entry; returns true if it was new. */
-  takeNews(update: types.UpstreamNews): boolean {
+  applyUpdate(update: types.UpstreamUpdate): boolean {
     const isNew = this.applyValue(update, 0);
     if (isNew) {
       this.publish(update);
@@ -136,7 +136,7 @@
     return isNew;
   }
 
-  private publish(update: types.UpstreamNews): void {
+  private publish(update: types.UpstreamUpdate): void {
     const { name, incarnation } = this.options;
     const value = this.renewalOrFull(update);
     const item = this.store.publish(name, incarnation, keyOf(value), value, this.now());
@@ -151,7 +151,7 @@
    * Replaces an unchanged announcement by a renewal, which is smaller. The full announcement is published again before
    * other entries discard the previous one.
    */
-  private renewalOrFull(update: types.UpstreamNews): types.PublishedValue {
+  private renewalOrFull(update: types.UpstreamUpdate): types.PublishedValue {
     if (update.type !== 'announce') {
       return update;
     }
@@ -175,11 +175,11 @@
   private applyValue(value: types.PublishedValue, age: number): boolean {
     switch (value.type) {
       case 'announce':
-        return this.table.announce(value.announcement, age, this.now());
+        return this.table.applyAnnouncement(value.announcement, age, this.now());
       case 'renewal':
         return this.table.applyRenewal(value.renewal, age, this.now());
       case 'load':
-        return this.table.report(value.report, age, this.now());
+        return this.table.applyLoadReport(value.report, age, this.now());
       case 'cache':
         return this.table.applyCacheEvent(value.event);
       case 'presence':
@@ -188,7 +188,7 @@
         return true;
       case 'case':
         for (const listener of this.crashRecordListeners) {
-          listener(caseAge.after(value.record, age));
+          listener(crashRecordAge.advance(value.record, age));
         }
         return true;
     }
--- a/packages/kumquatfront/src/directory/types.ts
+++ b/packages/kumquatfront/src/directory/types.ts
@@ -56,7 +56,7 @@
 }
 
 /** An update that an upstream posts to any entry. */
-export type UpstreamNews =
+export type UpstreamUpdate =
   | { readonly type: 'announce'; readonly announcement: Announcement }
   | { readonly type: 'load'; readonly report: LoadReport }
   | { readonly type: 'cache'; readonly event: CacheEvent };
@@ -82,7 +82,7 @@
   | { readonly type: 'cache'; readonly event: CacheEvent }
   | { readonly type: 'presence'; readonly presence: EntryPresence }
   /** The crash record of a content. */
-  | { readonly type: 'case'; readonly record: quarantineTypes.CaseRecord };
+  | { readonly type: 'case'; readonly record: quarantineTypes.CrashRecord };
 
 /** A published value as entries exchange it. */
 export interface PublishedItem {
--- a/packages/kumquatfront/src/directory/upstreamTable.spec.ts
+++ b/packages/kumquatfront/src/directory/upstreamTable.spec.ts
@@ -37,34 +37,38 @@
 // Guards against requests to a draining engine because of a later announcement or load report.
 void test.test('draining is final for an incarnation', () => {
   const table = new upstreamTable.UpstreamTable();
-  table.announce(announcement(), 0, 0);
-  table.announce(announcement({ sequence: 2, leaving: true }), 0, 0);
-  table.announce(announcement({ sequence: 3 }), 0, 0);
-  table.report({ name: 'e1', incarnation: 1, sequence: 9, running: 0, waiting: 0, usedTokens: 0 }, 0, 0);
+  table.applyAnnouncement(announcement(), 0, 0);
+  table.applyAnnouncement(announcement({ sequence: 2, leaving: true }), 0, 0);
+  table.applyAnnouncement(announcement({ sequence: 3 }), 0, 0);
+  table.applyLoadReport(
+    { name: 'e1', incarnation: 1, sequence: 9, running: 0, waiting: 0, usedTokens: 0 },
+    0,
+    0,
+  );
   assert.equal(table.candidates('pool=llm').length, 0);
-  table.announce(announcement({ incarnation: 2 }), 0, 0);
+  table.applyAnnouncement(announcement({ incarnation: 2 }), 0, 0);
   assert.equal(table.candidates('pool=llm').length, 1);
 });
 
 void test.test('updates of an earlier incarnation change nothing', () => {
   const table = new upstreamTable.UpstreamTable();
-  table.announce(announcement({ incarnation: 2 }), 0, 0);
-  assert.equal(table.announce(announcement({ sequence: 99, leaving: true }), 0, 0), false);
+  table.applyAnnouncement(announcement({ incarnation: 2 }), 0, 0);
+  assert.equal(table.applyAnnouncement(announcement({ sequence: 99, leaving: true }), 0, 0), false);
   const old = { name: 'e1', incarnation: 1, sequence: 9, running: 4, waiting: 9, usedTokens: 900 };
-  assert.equal(table.report(old, 0, 0), false);
+  assert.equal(table.applyLoadReport(old, 0, 0), false);
   assert.equal(table.candidates('pool=llm').length, 1);
 });
 
 void test.test('an announcement older than its own lease adds no upstream', () => {
   const table = new upstreamTable.UpstreamTable();
-  assert.equal(table.announce(announcement(), LEASE, 10_000), false);
+  assert.equal(table.applyAnnouncement(announcement(), LEASE, 10_000), false);
   assert.equal(table.all().length, 0);
 });
 
 // Guards against losing an upstream after a network partition, when the lease of its full announcement has expired.
 void test.test('a recent renewal restores the announcement that it repeats', () => {
   const table = new upstreamTable.UpstreamTable();
-  table.announce(announcement(), LEASE, 10_000);
+  table.applyAnnouncement(announcement(), LEASE, 10_000);
   assert.equal(table.applyRenewal({ name: 'e1', incarnation: 1, sequence: 5 }, 100, 10_000), true);
   assert.equal(table.candidates('pool=llm').length, 1);
   assert.equal(table.applyRenewal({ name: 'e1', incarnation: 2, sequence: 6 }, 0, 10_000), false);
@@ -73,7 +77,7 @@
 // Guards against routing requests to an engine for a prefix that it may have evicted since a lost event.
 void test.test('a gap in the cache events clears the known prefixes', () => {
   const table = new upstreamTable.UpstreamTable();
-  table.announce(announcement(), 0, 0);
+  table.applyAnnouncement(announcement(), 0, 0);
   table.applyCacheEvent(cacheEvent(1, ['a', 'b']));
   table.applyCacheEvent(cacheEvent(2, ['c'], ['a']));
   assert.deepEqual(
--- a/packages/kumquatfront/src/directory/upstreamTable.ts
+++ b/packages/kumquatfront/src/directory/upstreamTable.ts
@@ -13,7 +13,7 @@
   readonly leaving: boolean;
   readonly load: types.LoadReport | undefined;
   /** Local time at which the load was measured. */
-  readonly loadAt: number;
+  readonly loadReportedAt: number;
 }
 
 interface CacheState {
@@ -38,7 +38,7 @@
   >();
 
   /** Applies an announcement that is `age` milliseconds old; returns true if it was accepted. */
-  announce(announcement: types.Announcement, age: number, now: number): boolean {
+  applyAnnouncement(announcement: types.Announcement, age: number, now: number): boolean {
     this.rememberAnnouncement(announcement);
     const known = this.records.get(announcement.name);
     const previous = known?.announcement;
@@ -58,7 +58,7 @@
       expiresAt,
       leaving,
       load: sameIncarnation ? known?.load : undefined,
-      loadAt: sameIncarnation ? (known?.loadAt ?? 0) : 0,
+      loadReportedAt: sameIncarnation ? (known?.loadReportedAt ?? 0) : 0,
     });
     if (!sameIncarnation) {
       this.caches.delete(announcement.name);
@@ -77,7 +77,7 @@
     const announcement = this.latestAnnouncements.get(renewal.name);
     return (
       announcement?.incarnation === renewal.incarnation &&
-      this.announce({ ...announcement, sequence: renewal.sequence }, age, now)
+      this.applyAnnouncement({ ...announcement, sequence: renewal.sequence }, age, now)
     );
   }
 
@@ -94,7 +94,7 @@
   }
 
   /** Applies a load report; never changes whether the upstream is draining. */
-  report(report: types.LoadReport, age: number, now: number): boolean {
+  applyLoadReport(report: types.LoadReport, age: number, now: number): boolean {
     const known = this.records.get(report.name);
     if (known?.announcement.incarnation !== report.incarnation) {
       return false;
@@ -102,7 +102,7 @@
     if (known.load !== undefined && known.load.sequence >= report.sequence) {
       return false;
     }
-    this.records.set(report.name, { ...known, load: report, loadAt: now - age });
+    this.records.set(report.name, { ...known, load: report, loadReportedAt: now - age });
     this.version += 1;
     return true;
   }
--- a/packages/kumquatfront/src/directory/newsParser.ts
+++ b/packages/kumquatfront/src/directory/upstreamUpdateParser.ts
@@ -17,7 +17,7 @@
   return { type: 'object', additionalProperties: false, required: Object.keys(properties), properties };
 }
 
-const SCHEMAS: Readonly<Record<types.UpstreamNews['type'], ajv.AnySchema>> = {
+const SCHEMAS: Readonly<Record<types.UpstreamUpdate['type'], ajv.AnySchema>> = {
   announce: strictObject({
     type: { const: 'announce' },
     announcement: strictObject({
@@ -63,7 +63,7 @@
  * const update = upstreamUpdateParser.parse(body);
  * ```
  */
-export function parse(body: string): results.Result<types.UpstreamNews, failures.Failure> {
+export function parse(body: string): results.Result<types.UpstreamUpdate, failures.Failure> {
   const value = parseJson(body);
   const type = typeof value === 'object' && value !== null && 'type' in value ? String(value.type) : '';
   const validate = compiled.get(type);
@@ -72,7 +72,7 @@
     return results.Err(failures.create('badInput', 'The update has an unknown type.', remedy));
   }
   if (!validate(value)) {
-    return results.Err(schemaFailures.describe('update', validate.errors ?? []));
+    return results.Err(schemaFailures.fromErrors('update', validate.errors ?? []));
   }
-  return results.Ok(value as types.UpstreamNews);
+  return results.Ok(value as types.UpstreamUpdate);
 }
--- a/packages/kumquatfront/src/entryNode/entryNode.ts
+++ b/packages/kumquatfront/src/entryNode/entryNode.ts
@@ -16,15 +16,15 @@
 import * as results from '../kernel/results.js';
 import * as serviceRegistry from '../kernel/serviceRegistry.js';
 import * as timerService from '../kernel/timerService.js';
-import * as entryOrderPort from '../orders/entryOrderPort.js';
+import * as orderForwarder from '../orders/orderForwarder.js';
 import * as quarantine from '../quarantine/quarantine.js';
-import * as choice from '../routing/choice.js';
-import * as health from '../routing/health.js';
-import * as retryBudget from '../routing/retryBudget.js';
+import * as balancingPolicy from '../routing/balancingPolicy.js';
+import * as outlierDetector from '../routing/outlierDetector.js';
+import * as accountRetryBudget from '../routing/accountRetryBudget.js';
 import type * as routing from '../routing/types.js';
 import * as trafficResolver from '../selectors/trafficResolver.js';
 import * as requestHandler from './requestHandler.js';
-import * as rendezvous from '../utils/rendezvous.js';
+import * as rendezvousHashing from '../utils/rendezvousHashing.js';
 import type * as types from './types.js';
 import * as guardedPlacement from './guardedPlacement.js';
 
@@ -35,9 +35,9 @@
   readonly configuration: configurationReplica.ConfigurationReplica;
   readonly resolver: trafficResolver.TrafficResolver;
   readonly estimates: lengthEstimator.LengthEstimator;
-  readonly health: health.Health;
+  readonly health: outlierDetector.OutlierDetector;
   readonly placement: routing.PlacementPolicy;
-  readonly retries: retryBudget.RetryBudget;
+  readonly retries: accountRetryBudget.AccountRetryBudget;
   readonly claims: claimClient.ClaimClient;
   readonly burn: burnRecorder.BurnRecorder;
   readonly quarantine: quarantine.Quarantine;
@@ -54,7 +54,7 @@
   readonly services: serviceRegistry.ServiceRegistry<EntryServices>;
   readonly requests: requestHandler.RequestHandler;
   /** Applies an announcement, load report or cache event that an upstream posted. */
-  takeNews(update: directoryTypes.UpstreamNews): void;
+  applyUpdate(update: directoryTypes.UpstreamUpdate): void;
   /** Entry addresses to give to callers, in order of preference. */
   addresses(): readonly addressList.EntryAddress[];
   /** Current state of this entry, as published in the directory. */
@@ -103,7 +103,7 @@
     peerAddress: settings.peerAddress,
     state: currentState(),
     inFlight: requests.inFlight,
-    configurationVersion: configuration.inForce,
+    configurationVersion: configuration.versionInForce,
   });
   const currentState = (): directoryTypes.EntryPresence['state'] => {
     if (draining) {
@@ -154,26 +154,26 @@
   const resolver = new trafficResolver.TrafficResolver();
   const burn = new burnRecorder.BurnRecorder(() => clock.wall());
   configuration.onChange(() => {
-    resolver.update(configuration.all());
-    burn.update(configuration.all());
+    resolver.update(configuration.listObjects());
+    burn.update(configuration.listObjects());
   });
   services.register('resolver', resolver);
   services.register('burn', burn);
-  services.register('health', new health.Health());
-  services.register('retries', new retryBudget.RetryBudget(DEFAULT_RETRY_PERCENT));
+  services.register('health', new outlierDetector.OutlierDetector());
+  services.register('retries', new accountRetryBudget.AccountRetryBudget(DEFAULT_RETRY_PERCENT));
   services.register('estimates', new lengthEstimator.LengthEstimator());
   services.register(
     'placement',
     createPlacement({
       directory: entryDirectory,
       estimator: services.find('estimates'),
-      health: services.find('health'),
+      outlierDetector: services.find('health'),
       timers,
       random,
       metrics,
-      choose: choice.chooseOfTwo,
+      selectUpstream: balancingPolicy.powerOfTwoChoices,
       headroom: settings.headroom,
-      bounds: () => queueBoundsOf(configuration),
+      queueBounds: () => queueBoundsOf(configuration),
       weightOf: (account) => resolver.weightOf(account),
       upstreamWait: settings.upstreamWait,
       name: settings.name,
@@ -185,7 +185,7 @@
   const requests = new requestHandler.RequestHandler({ settings, ports, services });
   services.register('requests', requests);
 
-  entryOrderPort.serve(peers, entryDirectory.table, ports.orders);
+  orderForwarder.serve(peers, entryDirectory.table, ports.orders);
   peers.serve(methods.methods.entryBurn, (_parameters, reply) => {
     reply(results.Ok(burn.toJson()));
   });
@@ -197,10 +197,10 @@
   return {
     services,
     requests,
-    takeNews: (update) => {
-      entryDirectory.takeNews(update);
+    applyUpdate: (update) => {
+      entryDirectory.applyUpdate(update);
     },
-    addresses: () => addressList.order(entryDirectory.entries(), settings.dataCentre, random),
+    addresses: () => addressList.orderByPreference(entryDirectory.entries(), settings.dataCentre, random),
     presence,
     drain: (done) => {
       draining = true;
@@ -239,9 +239,9 @@
 ): quarantine.Quarantine {
   const { log, metrics, checkUpstream } = ports;
   const publishRecord = (content: string): void => {
-    const record = contentQuarantine.caseOf(content);
+    const record = contentQuarantine.recordOf(content);
     if (record !== undefined) {
-      entryDirectory.publishCase(record);
+      entryDirectory.publishCrashRecord(record);
     }
   };
   const contentQuarantine: quarantine.Quarantine = new quarantine.Quarantine({
@@ -249,16 +249,16 @@
     log,
     metrics,
     check: checkUpstream,
-    hasGivenNotice: (identity) =>
+    isTerminating: (identity) =>
       entryDirectory.table
         .all()
         .some((record) => record.leaving && guardedPlacement.identityOf(record) === identity),
-    tell: publishRecord,
+    report: publishRecord,
     // The directory has no update for a crash; outlier detection and lease expiry exclude the upstream.
-    onEnded: () => undefined,
+    onInstanceDown: () => undefined,
   });
-  entryDirectory.onCase((record) => {
-    contentQuarantine.take([record]);
+  entryDirectory.onCrashRecord((record) => {
+    contentQuarantine.mergeRecords([record]);
   });
   // Published records expire long before a quarantine does, so one entry per content republishes its record for
   // entries that join later.
@@ -267,7 +267,7 @@
     () => {
       const entryNames = entryDirectory.entries().map(({ name }) => name);
       const assigned = contentQuarantine.quarantined.filter(
-        (content) => rendezvous.pick(content, entryNames) === settings.name,
+        (content) => rendezvousHashing.pick(content, entryNames) === settings.name,
       );
       assigned.forEach(publishRecord);
     },
--- a/packages/kumquatfront/src/entryNode/guardedPlacement.ts
+++ b/packages/kumquatfront/src/entryNode/guardedPlacement.ts
@@ -86,14 +86,14 @@
     if (answer.type === 'refused') {
       done(answer);
     } else if (this.verdict === 'quarantined') {
-      placement.finished(request.requestId, 0, false);
+      placement.onFinished(request.requestId, 0, false);
       this.refuse(done);
     } else {
       const { address } = answer.upstream.announcement;
       const instance = { identity: identityOf(answer.upstream), address };
       this.currentRun = {
         instance,
-        run: contentQuarantine.detector.begun(instance.identity, content, request.requestId),
+        run: contentQuarantine.detector.runStarted(instance.identity, content, request.requestId),
       };
       done(answer);
     }
@@ -101,12 +101,12 @@
 
   private refuse(done: PlacementDone): void {
     const { request, content, quarantine: contentQuarantine, log } = this.options;
-    log.info('requestQuarantined', { request: request.requestId, ...contentQuarantine.describe(content) });
+    log.info('requestQuarantined', { request: request.requestId, ...contentQuarantine.logFieldsOf(content) });
     done({ type: 'refused', refusal: { reason: 'quarantined' } });
   }
 
   /** Records that the request has released its upstream. */
-  onReleased(reason: generationRelay.LeaveReason): void {
+  onReleased(reason: generationRelay.ReleaseReason): void {
     const { currentRun } = this;
     const { content, quarantine: contentQuarantine } = this.options;
     this.currentRun = undefined;
@@ -116,14 +116,14 @@
     const { instance, run } = currentRun;
     if (reason === 'failure' || reason === 'stall') {
       this.isChecking = true;
-      contentQuarantine.detector.broke(instance, run, () => {
+      contentQuarantine.detector.runBroken(instance, run, () => {
         this.onChecked();
       });
       return;
     }
-    contentQuarantine.detector.ended(instance.identity, run);
+    contentQuarantine.detector.runFinished(instance.identity, run);
     if (reason === 'whole') {
-      contentQuarantine.answered(content);
+      contentQuarantine.recordAnswer(content);
     }
   }
 
--- a/packages/kumquatfront/src/entryNode/instrumentedCaller.ts
+++ b/packages/kumquatfront/src/entryNode/instrumentedCaller.ts
@@ -44,26 +44,26 @@
   };
 
   return {
-    accepted: (token) => {
-      caller.accepted(token);
+    sendAccepted: (token) => {
+      caller.sendAccepted(token);
     },
-    token: (token, index, data) => {
+    sendToken: (token, index, data) => {
       onToken();
-      return caller.token(token, index, data);
+      return caller.sendToken(token, index, data);
     },
-    restarted: (token) => {
+    sendRestart: (token) => {
       metrics.count('stream.restarts', 1);
-      caller.restarted(token);
+      caller.sendRestart(token);
     },
-    ended: (count) => {
+    complete: (count) => {
       burn.record('whole', urgency, now() - startedAt);
       metrics.timing('stream.whole', now() - startedAt, { urgency });
       metrics.count('stream.tokens', count, { urgency });
-      caller.ended(count);
+      caller.complete(count);
     },
-    refused: (refusal) => {
+    refuse: (refusal) => {
       metrics.count('refusals', 1, { kind: refusal.kind });
-      caller.refused(refusal);
+      caller.refuse(refusal);
     },
   };
 }
@@ -84,16 +84,16 @@
   const { now, burn, metrics, urgency, caller } = options;
   const startedAt = now();
   return {
-    answered: (answer, repeated) => {
+    respond: (answer, repeated) => {
       const elapsed = now() - startedAt;
       burn.record('stall', urgency, elapsed);
       burn.record('whole', urgency, elapsed);
       metrics.timing('call.whole', elapsed, { urgency });
-      caller.answered(answer, repeated);
+      caller.respond(answer, repeated);
     },
-    refused: (refusal) => {
+    refuse: (refusal) => {
       metrics.count('refusals', 1, { kind: refusal.kind });
-      caller.refused(refusal);
+      caller.refuse(refusal);
     },
   };
 }
--- a/packages/kumquatfront/src/entryNode/promptFacts.ts
+++ b/packages/kumquatfront/src/entryNode/promptAttributes.ts
@@ -49,7 +49,7 @@
  * promptAttributes.fromBody({ model: 'ledger', prompt: 'Reconcile these receipts' });
  * ```
  */
-export function read(body: Readonly<Record<string, unknown>>): PromptAttributes | undefined {
+export function fromBody(body: Readonly<Record<string, unknown>>): PromptAttributes | undefined {
   const text = textOf(body);
   if (text === undefined) {
     return undefined;
--- a/packages/kumquatfront/src/entryNode/requestHandler.ts
+++ b/packages/kumquatfront/src/entryNode/requestHandler.ts
@@ -14,7 +14,7 @@
 import * as canonicalJson from '../utils/canonicalJson.js';
 import type * as entryNode from './entryNode.js';
 import * as instrumentedCaller from './instrumentedCaller.js';
-import * as promptFacts from './promptFacts.js';
+import * as promptAttributes from './promptAttributes.js';
 import * as refusals from './refusals.js';
 import type * as types from './types.js';
 import * as guardedPlacement from './guardedPlacement.js';
@@ -35,7 +35,7 @@
 
 type Refuse = (refusal: streams.Refusal) => void;
 
-const NO_OP_HANDLE: streams.StreamHandle = { drained: () => undefined, callerGone: () => undefined };
+const NO_OP_HANDLE: streams.StreamHandle = { onDrain: () => undefined, onCallerDisconnect: () => undefined };
 const IDEMPOTENT_METHODS: readonly string[] = ['GET', 'HEAD', 'OPTIONS'];
 
 /** The request handler; see the module comment. */
@@ -123,14 +123,14 @@
   /** Handles a generation request. */
   generate(request: types.GenerationRequest, caller: streams.GenerationCaller): streams.StreamHandle {
     const refuse: Refuse = (refusal) => {
-      caller.refused(refusal);
+      caller.refuse(refusal);
     };
     const model = typeof request.body.model === 'string' ? request.body.model : '';
     const admitted = this.admit(request, { model, path: request.path }, refuse);
     if (admitted === undefined) {
       return NO_OP_HANDLE;
     }
-    const prompt = promptFacts.read(request.body);
+    const prompt = promptAttributes.fromBody(request.body);
     if (prompt === undefined) {
       refuse(refusals.invalid('The body has neither a prompt nor messages.', 'Add "prompt" or "messages".'));
       return NO_OP_HANDLE;
@@ -141,7 +141,7 @@
   private startRelay(
     request: types.GenerationRequest,
     admitted: AdmittedRequest,
-    prompt: promptFacts.PromptAttributes,
+    prompt: promptAttributes.PromptAttributes,
     caller: streams.GenerationCaller,
   ): streams.StreamHandle {
     const { ports: entryPorts, services, settings } = this.options;
@@ -168,7 +168,7 @@
     };
     const relay = new generationRelay.GenerationRelay({
       requestId,
-      order: engineRequest,
+      request: engineRequest,
       mayRestart: request.acceptsRestart && selector.onUpstreamDeath === 'restart',
       engines: entryPorts.engines,
       timers: services.find('timers'),
@@ -177,11 +177,11 @@
       host: this.createRelayHost(
         placementRequest,
         request.path,
-        contentDigest.ofParts([request.path, account.name], canonicalJson.stringify(request.body)),
+        contentDigest.fromParts([request.path, account.name], canonicalJson.stringify(request.body)),
       ),
     });
     this.activeRequests += 1;
-    services.find('retries').requested(account.name);
+    services.find('retries').recordRequest(account.name);
     relay.start();
     return relay;
   }
@@ -217,9 +217,9 @@
       log: this.log,
     });
     return {
-      place: (exclude, done) => contentGuard.requestPlacement(exclude, done),
+      requestPlacement: (exclude, done) => contentGuard.requestPlacement(exclude, done),
       issueToken: (target, generation) =>
-        resumeToken.issue(
+        resumeToken.issuePrefix(
           {
             requestId: request.requestId,
             account: request.account,
@@ -231,22 +231,22 @@
           settings.signingKey,
         ),
       mayRetry: () => services.find('retries').mayRetry(request.account),
-      progressed: (produced) => {
-        placement.progressed(request.requestId, produced);
+      onProgress: (produced) => {
+        placement.onProgress(request.requestId, produced);
       },
-      left: (upstream, produced, reason) => {
+      onReleased: (upstream, produced, reason) => {
         contentGuard.onReleased(reason);
         this.onReleased(request.requestId, upstream, produced, reason);
       },
-      stalled: (milliseconds) => {
+      onStall: (milliseconds) => {
         entryPorts.metrics.count('relay.stalls', 1);
         this.log.debug('streamStalled', { request: request.requestId, milliseconds });
       },
-      dropped: () => {
+      onEventDiscarded: () => {
         entryPorts.metrics.count('relay.dropped_tokens', 1);
       },
       otherEntries: () => this.otherEntries(),
-      finished: () => {
+      onFinished: () => {
         this.activeRequests -= 1;
       },
     };
@@ -256,15 +256,15 @@
     requestId: string,
     upstream: string,
     produced: number,
-    reason: generationRelay.LeaveReason,
+    reason: generationRelay.ReleaseReason,
   ): void {
     const { services, ports: entryPorts } = this.options;
     const health = services.find('health');
-    services.find('placement').finished(requestId, produced, reason === 'whole');
+    services.find('placement').onFinished(requestId, produced, reason === 'whole');
     if (reason === 'whole') {
-      health.succeeded(upstream);
+      health.recordSuccess(upstream);
     } else if (reason === 'failure' || reason === 'neverSent' || reason === 'stall') {
-      health.failed(upstream, reason === 'stall' ? 'stall' : 'failure', entryPorts.clock.now());
+      health.recordFailure(upstream, reason === 'stall' ? 'stall' : 'failure', entryPorts.clock.now());
       entryPorts.metrics.count('upstream.failures', 1, { reason });
       this.log.warn('upstreamFailed', { upstream, reason, request: requestId });
     }
@@ -274,7 +274,7 @@
   resume(request: types.ResumeRequest, caller: streams.GenerationCaller): streams.StreamHandle {
     const { settings, ports: entryPorts, services } = this.options;
     const account = this.admitAccount(request, (refusal) => {
-      caller.refused(refusal);
+      caller.refuse(refusal);
     });
     if (account === undefined) {
       return NO_OP_HANDLE;
@@ -287,7 +287,7 @@
             message: 'The resume token belongs to another request.',
             remedy: 'Resume the request that the token names.',
           };
-      caller.refused({ kind: 'invalid', status: 403, message, remedy });
+      caller.refuse({ kind: 'invalid', status: 403, message, remedy });
       return NO_OP_HANDLE;
     }
     const { claims, nextIndex } = verified.val;
@@ -304,7 +304,7 @@
     } as const;
     const relay = new generationRelay.GenerationRelay({
       requestId: claims.requestId,
-      order: undefined,
+      request: undefined,
       mayRestart: false,
       engines: entryPorts.engines,
       timers: services.find('timers'),
@@ -315,7 +315,7 @@
         ...this.createRelayHost(placementRequest, claims.path, ''),
         // A reissued token must name the original request, not the identifier of this resumption.
         issueToken: (target, generation) =>
-          resumeToken.issue(
+          resumeToken.issuePrefix(
             { ...claims, upstream: target.name, address: target.address, generation },
             settings.signingKey,
           ),
@@ -327,9 +327,9 @@
   }
 
   /** Handles a call to a plain service. */
-  call(request: types.ServiceRequest, caller: streams.ServiceCaller): void {
+  callService(request: types.ServiceRequest, caller: streams.ServiceCaller): void {
     const refuse: Refuse = (refusal) => {
-      caller.refused(refusal);
+      caller.refuse(refusal);
     };
     const extraLabels = { service: request.service, method: request.method, path: request.path };
     const admitted = this.admit(request, extraLabels, refuse);
@@ -369,11 +369,11 @@
         estimateKeys: [],
       },
       path,
-      contentDigest.ofParts([request.service, method, path, account.name], body),
+      contentDigest.fromParts([request.service, method, path, account.name], body),
     );
     const digest = canonicalJson.digest([request.service, method, path, body]);
     this.activeRequests += 1;
-    services.find('retries').requested(account.name);
+    services.find('retries').recordRequest(account.name);
     new serviceRelay.ServiceRelay({
       call: { method, path, contentType, body, idempotencyKey: key },
       claim: idempotent
--- a/packages/kumquatfront/src/estimates/lengthEstimator.ts
+++ b/packages/kumquatfront/src/estimates/lengthEstimator.ts
@@ -176,7 +176,7 @@
   }
 
   /** Probabilities that a generation with `produced` tokens is still running after each number of further steps. */
-  survival(keys: EstimateKeys, produced: number, steps: readonly number[]): readonly number[] {
+  survivalProbabilities(keys: EstimateKeys, produced: number, steps: readonly number[]): readonly number[] {
     const histogram = this.histogramFor(keys, produced);
     const currentWeight = weightAbove(histogram, produced);
     if (currentWeight <= 0) {
--- a/packages/kumquatfront/src/instances/instanceLog.spec.ts
+++ b/packages/kumquatfront/src/instances/instanceLog.spec.ts
@@ -5,7 +5,7 @@
 import * as test from 'node:test';
 
 import type * as ports from '../kernel/ports.js';
-import * as controlBench from '../trafficControl/controlBench.js';
+import * as controlTestHarness from '../trafficControl/controlTestHarness.js';
 import * as instanceLog from './instanceLog.js';
 import * as instanceTable from './instanceTable.js';
 import * as instanceView from './instanceView.js';
@@ -33,9 +33,9 @@
   for (const replica of REPLICAS) {
     const table = new instanceTable.InstanceTable(replica);
     for (let index = 0; index < INSTANCES; index += 1) {
-      table.hear(controlBench.announcementOf(`i${index}`, 1), 0);
+      table.applyAnnouncement(controlTestHarness.announcementOf(`i${index}`, 1), 0);
     }
-    view.merge(replica, table.newsSince('', 0, 0), 0);
+    view.merge(replica, table.updatesSince('', 0, 0), 0);
   }
   return lines;
 }
@@ -51,8 +51,8 @@
   'draining and removed instances are logged separately, with the revisions of the replica',
   () => {
     const { log, lines } = createRecordingLog();
-    const instance = { ...controlBench.announcementOf('i1', 1), firstAt: 0, coldUntil: 0 };
-    const other = { ...controlBench.announcementOf('i2', 1), firstAt: 0, coldUntil: 0 };
+    const instance = { ...controlTestHarness.announcementOf('i1', 1), firstSeenAt: 0, coldUntil: 0 };
+    const other = { ...controlTestHarness.announcementOf('i2', 1), firstSeenAt: 0, coldUntil: 0 };
     const changes = [
       { instance, event: 'leaving' },
       { instance: other, event: 'gone' },
--- a/packages/kumquatfront/src/instances/instanceTable.ts
+++ b/packages/kumquatfront/src/instances/instanceTable.ts
@@ -78,7 +78,7 @@
   }
 
   /** Last revision that entries must receive at once: a termination notice, a warm-up, a new or lifted rate limit. */
-  get noticeRevision(): number {
+  get immediateRevision(): number {
     return this.lastImmediateRevision;
   }
 
@@ -87,7 +87,7 @@
    *
    * @returns true if entries must be informed of a change
    */
-  hear(announcement: types.Announcement, now: number, age = 0, firstAge = age): boolean {
+  applyAnnouncement(announcement: types.Announcement, now: number, age = 0, firstAge = age): boolean {
     const { identity } = announcement;
     const known = this.entries.get(identity);
     if (!this.acceptIncarnation(announcement, now)) {
@@ -178,13 +178,13 @@
    * @param receivedAt - time at which the entry received it
    * @returns true if entries must be informed of a change
    */
-  noteRateLimit(identity: string, perSecond: number | undefined, receivedAt: number): boolean {
+  recordRateLimit(identity: string, perSecond: number | undefined, receivedAt: number): boolean {
     const known = this.entries.get(identity);
-    if (known === undefined || receivedAt <= (known.rateLimit?.heardAt ?? Number.NEGATIVE_INFINITY)) {
+    if (known === undefined || receivedAt <= (known.rateLimit?.receivedAt ?? Number.NEGATIVE_INFINITY)) {
       return false;
     }
     const previous = known.rateLimit?.perSecond;
-    known.rateLimit = { perSecond, heardAt: receivedAt };
+    known.rateLimit = { perSecond, receivedAt };
     if (perSecond === previous) {
       return false;
     }
@@ -239,13 +239,13 @@
   }
 
   /** Applies an instance that another replica currently lists; returns true if anything changed. */
-  vouch(announcement: types.Announcement, now: number): boolean {
+  applyReplicaListing(announcement: types.Announcement, now: number): boolean {
     const known = this.entries.get(announcement.identity);
     if (known === undefined) {
-      return this.hear(announcement, now);
+      return this.applyAnnouncement(announcement, now);
     }
     known.lastSeenAt = now;
-    return announcement.state === 'leaving' && this.leave(announcement.identity, now);
+    return announcement.state === 'leaving' && this.markDraining(announcement.identity, now);
   }
 
   /**
@@ -254,7 +254,7 @@
    * @param born - start time of the incarnation; undefined selects the newest known one
    * @returns the identity of the instance if entries must be informed, otherwise undefined
    */
-  leaveByName(name: string, born: number | undefined, now: number): string | undefined {
+  markDrainingByName(name: string, born: number | undefined, now: number): string | undefined {
     const newest = this.newestIncarnations.get(name)?.born;
     const incarnationStart = born ?? newest;
     if (incarnationStart === undefined) {
@@ -262,18 +262,21 @@
       return undefined;
     }
     const identity = announcements.identityOf(name, incarnationStart);
-    return this.leave(identity, now) ? identity : undefined;
+    return this.markDraining(identity, now) ? identity : undefined;
   }
 
   /** Marks an instance as draining by its identity; returns true if entries must be informed. */
-  leave(identity: string, now: number): boolean {
+  markDraining(identity: string, now: number): boolean {
     const known = this.entries.get(identity);
     if (known === undefined) {
       this.removed.push({ identity, removedAt: now, revision: this.revision, final: true });
       return false;
     }
     const { announcement } = known;
-    return this.hear({ ...announcement, state: 'leaving', sequence: announcement.sequence + 1 }, now);
+    return this.applyAnnouncement(
+      { ...announcement, state: 'leaving', sequence: announcement.sequence + 1 },
+      now,
+    );
   }
 
   /**
@@ -282,7 +285,7 @@
    *
    * @returns true if it was listed
    */
-  end(identity: string, now: number): boolean {
+  removeCrashed(identity: string, now: number): boolean {
     const known = this.entries.get(identity);
     if (known === undefined) {
       return false;
@@ -299,7 +302,7 @@
   }
 
   /** True if an instance is draining or was removed recently. */
-  isLeaving(identity: string): boolean {
+  isDrainingOrRemoved(identity: string): boolean {
     const known = this.entries.get(identity);
     return known === undefined
       ? this.removed.some((entry) => entry.identity === identity)
@@ -354,13 +357,13 @@
         age: now - known.lastSeenAt,
         firstAge: now - known.firstSeenAt,
         ...(known.rateLimit !== undefined && {
-          rateLimit: { perSecond: known.rateLimit.perSecond, age: now - known.rateLimit.heardAt },
+          rateLimit: { perSecond: known.rateLimit.perSecond, age: now - known.rateLimit.receivedAt },
         }),
       }));
   }
 
   /** Returns the changes since a revision, or the complete table for another epoch or a reader too far behind. */
-  newsSince(epoch: string, revision: number, now: number): types.InstanceNews {
+  updatesSince(epoch: string, revision: number, now: number): types.InstanceUpdate {
     const isComplete = epoch !== this.epoch || revision < this.discardedRevision;
     return {
       epoch: this.epoch,
--- a/packages/kumquatfront/src/instances/instanceView.ts
+++ b/packages/kumquatfront/src/instances/instanceView.ts
@@ -25,7 +25,7 @@
 const NOTICE_RETENTION: ports.Milliseconds = 600_000;
 
 /** Reason given when all matching instances are in evacuated data centres. */
-export const EVACUATED = 'every upstream that could take it is in an evacuated data centre';
+export const EVACUATED_MESSAGE = 'every upstream that could take it is in an evacuated data centre';
 
 /** A change of an instance; `replaced` means that a newer incarnation has started under its name. */
 export type InstanceEvent = 'found' | 'leaving' | 'rateLimitTold' | 'gone' | 'replaced';
@@ -33,7 +33,7 @@
 /** One instance in the view of an entry. */
 export interface Instance extends types.Announcement {
   /** Time of the first announcement, by the clock of the entry. */
-  readonly firstAt: number;
+  readonly firstSeenAt: number;
   /** End of the warm-up by the clock of the entry; in the past if the instance is warm. */
   readonly coldUntil: number;
   /** The rate limit that other entries have reported; undefined if there is none. */
@@ -87,9 +87,9 @@
   now: number,
 ): backPressureTypes.KnownRateLimit | undefined {
   const receivedAt = reported === undefined ? Number.NEGATIVE_INFINITY : now - reported.age;
-  return known !== undefined && known.heardAt >= receivedAt
+  return known !== undefined && known.receivedAt >= receivedAt
     ? known
-    : reported && { perSecond: reported.perSecond, heardAt: receivedAt };
+    : reported && { perSecond: reported.perSecond, receivedAt };
 }
 
 /** Merged view of the upstream instances; see the module comment. */
@@ -122,7 +122,7 @@
   }
 
   /** Merges an update of a source. */
-  merge(sourceName: string, update: types.InstanceNews, now: number): void {
+  merge(sourceName: string, update: types.InstanceUpdate, now: number): void {
     const known = this.sources.get(sourceName);
     const source = known?.epoch === update.epoch ? known : createSource(update.epoch, now);
     this.sources.set(sourceName, source);
@@ -170,7 +170,7 @@
     const instance: Instance = {
       ...announcement.fromRecord(record),
       state: leaving ? 'leaving' : 'ready',
-      firstAt: known?.firstAt ?? now - record.firstAge,
+      firstSeenAt: known?.firstSeenAt ?? now - record.firstAge,
       coldUntil: Math.max(known?.coldUntil ?? 0, now + record.warmUpLeft),
       rateLimit: newestRateLimit(known?.rateLimit, record, now),
     };
@@ -245,7 +245,7 @@
    * True if an instance has given notice of its termination. A removed instance does not count: in a network partition
    * healthy instances are removed too, and a notice is final.
    */
-  hasGivenNotice(identity: string): boolean {
+  isTerminating(identity: string): boolean {
     return this.instances.get(identity)?.state === 'leaving';
   }
 
@@ -254,7 +254,7 @@
    *
    * @returns true if the instance was ready until then
    */
-  noteNotice(identity: string, now: number): boolean {
+  recordTerminationNotice(identity: string, now: number): boolean {
     const known = this.instances.get(identity);
     const isChanged = known?.state === 'ready';
     this.terminationNotices.set(identity, now);
@@ -286,10 +286,10 @@
   }
 
   /** Returns the reason why no instance of a service takes requests. */
-  whyNoneOf(service: string): string {
+  unavailabilityReason(service: string): string {
     const known = [...this.instances.values()].filter((instance) => instance.service === service);
     const hasEvacuated = known.some((instance) => instance.state === 'ready' && this.isEvacuated(instance));
-    return hasEvacuated ? EVACUATED : 'no upstream is known';
+    return hasEvacuated ? EVACUATED_MESSAGE : 'no upstream is known';
   }
 
   /** Returns the instances of a service that take requests; of two at one address only the newer one. */
@@ -301,7 +301,7 @@
     const newest = new Map<string, Instance>();
     for (const instance of this.instances.values()) {
       const incumbent = newest.get(instance.address);
-      if (incumbent === undefined || incumbent.firstAt < instance.firstAt) {
+      if (incumbent === undefined || incumbent.firstSeenAt < instance.firstSeenAt) {
         newest.set(instance.address, instance);
       }
     }
--- a/packages/kumquatfront/src/instances/notices.spec.ts
+++ b/packages/kumquatfront/src/instances/notices.spec.ts
@@ -4,20 +4,20 @@
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
 
-import * as instanceBench from './instanceBench.js';
+import * as instanceTestHarness from './instanceTestHarness.js';
 import type * as types from './types.js';
 
 function updateOf(
   epoch: string,
   records: readonly string[],
   removed: readonly string[] = [],
-): types.InstanceNews {
+): types.InstanceUpdate {
   return {
     epoch,
     revision: records.length + removed.length,
     whole: false,
     records: records.map((identity) => ({
-      ...instanceBench.announcement(identity, { address: `${identity}:80` }),
+      ...instanceTestHarness.announcement(identity, { address: `${identity}:80` }),
       age: 0,
       firstAge: 0,
     })),
@@ -26,11 +26,11 @@
 }
 
 void test.test('an instance that has given notice takes no more requests', () => {
-  const { view } = instanceBench.createView();
+  const { view } = instanceTestHarness.createView();
   view.merge('c1', updateOf('e', ['a', 'b']), 0);
-  assert.equal(view.noteNotice('a', 10), true);
-  assert.equal(view.noteNotice('a', 20), false);
-  assert.equal(view.hasGivenNotice('a'), true);
+  assert.equal(view.recordTerminationNotice('a', 10), true);
+  assert.equal(view.recordTerminationNotice('a', 20), false);
+  assert.equal(view.isTerminating('a'), true);
   assert.deepEqual(
     view.readyOf('llm').map(({ identity }) => identity),
     ['b'],
@@ -39,11 +39,11 @@
 
 // Guards against a late announcement from before the notice that reaches control after it has removed the instance.
 void test.test('an instance that has given notice stays terminating when control lists it again', () => {
-  const { view } = instanceBench.createView();
+  const { view } = instanceTestHarness.createView();
   view.merge('c1', updateOf('e', ['a', 'b']), 0);
-  view.noteNotice('a', 10);
+  view.recordTerminationNotice('a', 10);
   view.merge('c1', updateOf('e', ['b'], ['a']), 5_000);
   assert.equal(view.get('a'), undefined);
   view.merge('c1', updateOf('e', ['a', 'b']), 5_500);
-  assert.equal(view.hasGivenNotice('a'), true);
+  assert.equal(view.isTerminating('a'), true);
 });
--- a/packages/kumquatfront/src/instances/types.ts
+++ b/packages/kumquatfront/src/instances/types.ts
@@ -45,7 +45,7 @@
 }
 
 /** Changes since a revision of one publisher. */
-export interface InstanceNews {
+export interface InstanceUpdate {
   /** Unique for each start of the publisher; revisions of different epochs are not comparable. */
   readonly epoch: string;
   readonly revision: number;
--- a/packages/kumquatfront/src/instances/warmUp.spec.ts
+++ b/packages/kumquatfront/src/instances/warmUp.spec.ts
@@ -4,19 +4,19 @@
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
 
-import * as instanceBench from './instanceBench.js';
+import * as instanceTestHarness from './instanceTestHarness.js';
 import * as instanceTable from './instanceTable.js';
 import * as instanceView from './instanceView.js';
 
 function tableWith(warmUpLeft: number): instanceTable.InstanceTable {
   const table = new instanceTable.InstanceTable('e');
-  table.hear(instanceBench.announcement('i', { warmUpLeft }), 0);
+  table.applyAnnouncement(instanceTestHarness.announcement('i', { warmUpLeft }), 0);
   return table;
 }
 
 function coldUntil(table: instanceTable.InstanceTable, now: number): number | undefined {
   const view = new instanceView.InstanceView(() => undefined);
-  view.merge('control', table.newsSince('', 0, now), now);
+  view.merge('control', table.updatesSince('', 0, now), now);
   return view.get('i')?.coldUntil;
 }
 
@@ -29,14 +29,20 @@
   'a new warm-up is an immediate change, a repeated announcement of the same one is none',
   () => {
     const table = tableWith(0);
-    const { revision } = table.newsSince('e', 0, 0);
+    const { revision } = table.updatesSince('e', 0, 0);
     assert.equal(
-      table.hear(instanceBench.announcement('i', { warmUpLeft: 3_000, sequence: 2 }), 1_200),
+      table.applyAnnouncement(
+        instanceTestHarness.announcement('i', { warmUpLeft: 3_000, sequence: 2 }),
+        1_200,
+      ),
       true,
     );
-    assert.ok(table.noticeRevision > revision);
+    assert.ok(table.immediateRevision > revision);
     assert.equal(
-      table.hear(instanceBench.announcement('i', { warmUpLeft: 1_850, sequence: 3 }), 2_400),
+      table.applyAnnouncement(
+        instanceTestHarness.announcement('i', { warmUpLeft: 1_850, sequence: 3 }),
+        2_400,
+      ),
       false,
     );
     assert.equal(coldUntil(table, 2_400), 4_250);
@@ -45,13 +51,16 @@
 
 void test.test('instances of a data centre that are assumed cold stay cold for the warm-up time', () => {
   const table = tableWith(0);
-  table.hear(instanceBench.announcement('other', { dataCentre: 'b', address: '10.0.0.2:80' }), 0);
+  table.applyAnnouncement(
+    instanceTestHarness.announcement('other', { dataCentre: 'b', address: '10.0.0.2:80' }),
+    0,
+  );
   assert.equal(
     table.assumeCold('a', (service) => (service === 'llm' ? 1_000 : 0), 500),
     true,
   );
   // A delayed announcement from before the instance became cold.
-  table.hear(instanceBench.announcement('i', { warmUpLeft: 0, sequence: 2 }), 600);
+  table.applyAnnouncement(instanceTestHarness.announcement('i', { warmUpLeft: 0, sequence: 2 }), 600);
   assert.equal(coldUntil(table, 600), 1_500);
   const left = table.records(600).map(({ identity, warmUpLeft }) => `${identity} ${warmUpLeft}`);
   assert.deepEqual(left, ['i 900', 'other 0']);
--- a/packages/kumquatfront/src/orders/orderDispatcher.spec.ts
+++ b/packages/kumquatfront/src/orders/orderDispatcher.spec.ts
@@ -10,7 +10,7 @@
 import type * as ports from '../kernel/ports.js';
 import * as results from '../kernel/results.js';
 import * as timerService from '../kernel/timerService.js';
-import * as orderDesk from './orderDesk.js';
+import * as orderDispatcher from './orderDispatcher.js';
 
 const LOADS_PER_MINUTE = 2;
 
@@ -38,7 +38,7 @@
       },
     };
     const ignore = (): void => undefined;
-    new orderDesk.OrderDesk({
+    new orderDispatcher.OrderDispatcher({
       settings: {
         longestFlight: 2_000,
         weightLoadsPerMinute: LOADS_PER_MINUTE,
@@ -48,7 +48,7 @@
       replica: replicaStub,
       state: this.state,
       port: {
-        give: (order, _address, _timeout, done) => {
+        send: (order, _address, _timeout, done) => {
           this.sentOrderIds.push(order.orderId);
           done(results.Ok({ fencingNumber: order.fencingNumber, target: order.order.target }));
         },
--- a/packages/kumquatfront/src/orders/orderDesk.ts
+++ b/packages/kumquatfront/src/orders/orderDispatcher.ts
@@ -22,7 +22,7 @@
 const MINUTE = 60_000;
 
 /** The order dispatcher; see the module comment. */
-export class OrderDesk {
+export class OrderDispatcher {
   private readonly options: OrderDispatcherOptions;
   private leadingSince: number | undefined;
   private readonly inFlight = new Set<string>();
@@ -63,7 +63,7 @@
     }
     this.inFlight.add(order.orderId);
     this.attempts.set(order.orderId, (this.attempts.get(order.orderId) ?? 0) + 1);
-    port.give(order, '', settings.longestFlight, (result) => {
+    port.send(order, '', settings.longestFlight, (result) => {
       this.inFlight.delete(order.orderId);
       if (result.ok && result.val.fencingNumber >= order.fencingNumber) {
         this.recordOutcome(order, 'done');
--- a/packages/kumquatfront/src/orders/entryOrderPort.ts
+++ b/packages/kumquatfront/src/orders/orderForwarder.ts
@@ -37,7 +37,7 @@
   entries: () => readonly directory.EntryPresence[],
 ): types.OrderPort {
   return {
-    give: (order, _address, timeout, done) => {
+    send: (order, _address, timeout, done) => {
       const liveEntries = entries();
       const entry = liveEntries[Math.floor(random.next() * liveEntries.length)];
       if (entry === undefined) {
@@ -83,6 +83,6 @@
       );
       return;
     }
-    port.give(order, address, timeout, reply);
+    port.send(order, address, timeout, reply);
   });
 }
--- a/packages/kumquatfront/src/orders/types.ts
+++ b/packages/kumquatfront/src/orders/types.ts
@@ -28,7 +28,7 @@
    * Sends an order, then reads back the newest order that the upstream has accepted. `address` is empty where the sender
    * does not know the address of the upstream.
    */
-  give(
+  send(
     order: agreedState.Order,
     address: string,
     timeout: number,
--- a/packages/kumquatfront/src/outsideInput.spec.ts
+++ b/packages/kumquatfront/src/outsideInput.spec.ts
@@ -6,10 +6,10 @@
 
 import * as fastCheck from 'fast-check';
 
-import * as httpAnswers from './adapters/httpAnswers.js';
+import * as httpMessages from './adapters/httpMessages.js';
 import * as validation from './configuration/validation.js';
 import * as logFile from './consensus/logFile.js';
-import * as newsParser from './directory/newsParser.js';
+import * as upstreamUpdateParser from './directory/upstreamUpdateParser.js';
 import type * as failures from './kernel/failures.js';
 import type * as results from './kernel/results.js';
 import * as labelSelector from './selectors/labelSelector.js';
@@ -31,11 +31,11 @@
 const texts: readonly (readonly [string, (text: string) => Parsed])[] = [
   ['label selectors', labelSelector.parse],
   ['label headers', trafficResolver.parseHeaderLabels],
-  ['news of upstreams', newsParser.parse],
-  ['JSON bodies', httpAnswers.parseObject],
+  ['news of upstreams', upstreamUpdateParser.parse],
+  ['JSON bodies', httpMessages.parseObject],
   ['resume tokens', (text) => resumeToken.verify(text, 'account', 'key')],
-  ['entry settings', (text) => settingsLoader.readEntry(text, 'file')],
-  ['control settings', (text) => settingsLoader.readControl(text, 'file')],
+  ['entry settings', (text) => settingsLoader.parseEntrySettings(text, 'file')],
+  ['control settings', (text) => settingsLoader.parseControlSettings(text, 'file')],
 ];
 
 for (const [what, parse] of texts) {
@@ -87,7 +87,7 @@
     generation: 'r.1',
     path: '/v1/completions',
   };
-  const token = `${resumeToken.issue(claims, 'key')}.5`;
+  const token = `${resumeToken.issuePrefix(claims, 'key')}.5`;
   assert.equal(resumeToken.verify(token, 'a', 'key').unwrap().nextIndex, 5);
   assert.ok(resumeToken.verify(token, 'b', 'key').err);
   assert.ok(resumeToken.verify(token, 'a', 'other key').err);
--- a/packages/kumquatfront/src/placement/coordinator.ts
+++ b/packages/kumquatfront/src/placement/coordinator.ts
@@ -10,13 +10,13 @@
 import * as warmUpBounds from '../warmUp/warmUpBounds.js';
 import * as enginePool from './enginePool.js';
 import * as evacuation from './evacuation.js';
-import * as mechanisms from './mechanisms.js';
+import * as placementFeatures from './placementFeatures.js';
 import * as placementQueue from './placementQueue.js';
 import * as ranks from './ranks.js';
 import * as retryTracker from './retryTracker.js';
 import * as timeliness from './timeliness.js';
 import type * as types from './types.js';
-import * as waitingRules from './waitingRules.js';
+import * as waitLimits from './waitLimits.js';
 
 /** Interval of the scheduling loop: about one decoding step of an engine. */
 const TICK_INTERVAL: ports.Milliseconds = 20;
@@ -54,17 +54,17 @@
   /** Permitted overshoot of the rate limit of cold engines. */
   readonly warmUpTolerance: warmUpBounds.WarmUpTolerance;
   /** Names of the entries known to this replica. */
-  readonly entries: () => readonly string[];
+  readonly entryNames: () => readonly string[];
   /** Sends a move command to an entry. */
   readonly move: evacuation.EvacuationOptions['move'];
   /** Returns whether a placement feature is enabled; by default all are. */
-  readonly isOn?: mechanisms.IsOn;
+  readonly isEnabled?: placementFeatures.IsEnabled;
 }
 
 /** Placement coordinator of one control replica. */
 export class Coordinator {
   private readonly options: CoordinatorOptions;
-  private readonly isEnabled: mechanisms.IsOn;
+  private readonly isEnabled: placementFeatures.IsEnabled;
   private readonly pool: enginePool.EnginePool;
   private readonly retryTracker = new retryTracker.RetryTracker();
   private readonly queue = new placementQueue.PlacementQueue({
@@ -81,7 +81,7 @@
 
   constructor(options: CoordinatorOptions) {
     this.options = options;
-    this.isEnabled = options.isOn ?? mechanisms.allOn;
+    this.isEnabled = options.isEnabled ?? placementFeatures.allEnabled;
     this.pool = new enginePool.EnginePool(this.isEnabled);
     this.evacuation = new evacuation.EvacuationScheduler({
       pool: this.pool,
@@ -119,7 +119,7 @@
   }
 
   /** Queues a placement request; `respond` is called once it is placed or refused. */
-  place(request: types.PlacementRequest, respond: (answer: types.PlacementAnswer) => void): void {
+  requestPlacement(request: types.PlacementRequest, respond: (answer: types.PlacementAnswer) => void): void {
     const now = this.options.timers.now();
     this.lastActivityAt = now;
     this.stateChanged = true;
@@ -151,7 +151,7 @@
     const retry = { ...request, objectiveLeft };
     const patient = ranks.isPatient(request.facts.rank);
     const late = patient && this.timelinessOf({ request: retry, since: now }, now) === 'late';
-    return late ? { ...retry, patience: Math.min(request.patience, waitingRules.LATE_RETRY_WAIT) } : retry;
+    return late ? { ...retry, patience: Math.min(request.patience, waitLimits.LATE_RETRY_WAIT) } : retry;
   }
 
   private timelinessOf(
@@ -175,7 +175,7 @@
   }
 
   /** Applies an entry's report of its running generations. */
-  report(report: types.EntryReport): void {
+  applyReport(report: types.EntryReport): void {
     const now = this.options.timers.now();
     this.lastActivityAt = now;
     this.stateChanged = true;
@@ -183,7 +183,7 @@
   }
 
   /** Reschedules after a change of the instances, so that moves off draining engines start immediately. */
-  instancesChanged(): void {
+  handleInstancesChanged(): void {
     this.stateChanged = true;
     this.tick();
   }
@@ -203,7 +203,7 @@
           draining: record.state === 'leaving',
           evacuated: isEvacuated(record.dataCentre),
           ...(warmUp !== undefined && {
-            warmUpRateLimit: warmUpBounds.ofCoordinator(warmUp, warmUpTolerance),
+            warmUpRateLimit: warmUpBounds.forCoordinator(warmUp, warmUpTolerance),
           }),
           traits: { ...traits, slots: record.slots > 0 ? record.slots : traits.slots },
         });
@@ -242,7 +242,7 @@
     if (elapsed < MINIMUM_RECOVERY_TIME || elapsed >= MAXIMUM_RECOVERY_TIME) {
       return elapsed < MINIMUM_RECOVERY_TIME;
     }
-    const entryNames = this.options.entries();
+    const entryNames = this.options.entryNames();
     return entryNames.length === 0 || !entryNames.every((entry) => this.pool.hasReportedSince(entry, since));
   }
 
@@ -304,7 +304,10 @@
   }
 }
 
-function purposeOf(facts: types.GenerationFacts, deadlineStatus: timeliness.Timeliness): enginePool.Purpose {
+function purposeOf(
+  facts: types.GenerationAttributes,
+  deadlineStatus: timeliness.Timeliness,
+): enginePool.Purpose {
   if (!ranks.isPatient(facts.rank)) {
     return 'urgent';
   }
--- a/packages/kumquatfront/src/placement/coordinatorTestHarness.ts
+++ b/packages/kumquatfront/src/placement/coordinatorTestHarness.ts
@@ -9,9 +9,9 @@
 import * as warmUpBounds from '../warmUp/warmUpBounds.js';
 import * as coordinator from './coordinator.js';
 import * as enginePool from './enginePool.js';
-import * as mechanisms from './mechanisms.js';
+import * as placementFeatures from './placementFeatures.js';
 import type * as types from './types.js';
-import * as waitingRules from './waitingRules.js';
+import * as waitLimits from './waitLimits.js';
 
 /** Objective for the time to the first event, in milliseconds. */
 export const OBJECTIVE = 1_800;
@@ -38,7 +38,7 @@
   constructor(
     engineCount: number,
     generationsPerEngine: number,
-    isEnabled: mechanisms.IsOn = mechanisms.allOn,
+    isEnabled: placementFeatures.IsEnabled = placementFeatures.allEnabled,
   ) {
     const noop = (): void => undefined;
     const engine: trafficTypes.EngineTraits = {
@@ -62,9 +62,9 @@
       warmUpTolerance: warmUpBounds.strictTolerance,
       isEvacuated: (dataCentre) => this.evacuated.has(dataCentre),
       serviceOf: () => ({ name: 'llm', maximumConnections: 100, warmUp: WARM_UP, engine }),
-      entries: () => this.entries,
+      entryNames: () => this.entries,
       move: noop,
-      isOn: isEnabled,
+      isEnabled,
     });
   }
 
@@ -87,7 +87,7 @@
   /** Sends the entry's report. */
   report(): void {
     this.sequence += 1;
-    this.coordinator.report({
+    this.coordinator.applyReport({
       ...{ entry: ENTRY, address: 'e:1', epoch: 'x', sequence: this.sequence, leaving: [], unlisted: [] },
       ...{ generations: this.running, finished: [] },
     });
@@ -113,13 +113,13 @@
 
   /** Requests a placement; requests with the same fingerprint are retries. */
   requestPlacement(identity: string, fingerprint = identity, rank = 1): void {
-    const facts: types.GenerationFacts = {
+    const facts: types.GenerationAttributes = {
       ...{ identity, service: 'llm', promptTokens: PROMPT, outputLimit: 600, lengthHint: 600 },
       ...{ rank, account: '' },
     };
-    const patience = waitingRules.longestWait(OBJECTIVE, 39_000, rank);
+    const patience = waitLimits.maximumWait(OBJECTIVE, 39_000, rank);
     const times = { objective: OBJECTIVE, objectiveLeft: OBJECTIVE, patience };
-    this.coordinator.place(
+    this.coordinator.requestPlacement(
       { facts, entry: ENTRY, dataCentre: 'a', excluded: [], likeness: fingerprint, ...times },
       (answer) => {
         this.answers.set(identity, { ...answer, at: this.time.now() });
--- a/packages/kumquatfront/src/placement/enginePool.spec.ts
+++ b/packages/kumquatfront/src/placement/enginePool.spec.ts
@@ -9,7 +9,7 @@
 
 const MEMORY_TOKENS = 20_000;
 
-function factsOf(identity: string, promptTokens: number): types.GenerationFacts {
+function factsOf(identity: string, promptTokens: number): types.GenerationAttributes {
   return {
     ...{ identity, service: 'llm', promptTokens, outputLimit: 10, lengthHint: 10, rank: 1, account: '' },
   };
--- a/packages/kumquatfront/src/placement/enginePool.ts
+++ b/packages/kumquatfront/src/placement/enginePool.ts
@@ -6,10 +6,10 @@
 import type * as ports from '../kernel/ports.js';
 import * as residency from '../traffic/residency.js';
 import type * as trafficTypes from '../traffic/types.js';
-import * as recentCount from '../warmUp/recentCount.js';
+import * as slidingWindowCounter from '../warmUp/slidingWindowCounter.js';
 import * as warmUpBounds from '../warmUp/warmUpBounds.js';
 import * as lengthForecast from './lengthForecast.js';
-import * as mechanisms from './mechanisms.js';
+import * as placementFeatures from './placementFeatures.js';
 import * as memoryPeak from './memoryPeak.js';
 import * as prefillEstimator from './prefillEstimator.js';
 import type * as types from './types.js';
@@ -76,7 +76,7 @@
 
 /** Criteria for selecting an engine. */
 export interface EngineQuery {
-  readonly facts: types.GenerationFacts;
+  readonly facts: types.GenerationAttributes;
   readonly produced: number;
   readonly purpose: Purpose;
   readonly dataCentre: string;
@@ -102,17 +102,17 @@
 export class EnginePool {
   readonly lengths = new lengthForecast.LengthForecast();
   readonly prefillEstimator = new prefillEstimator.PrefillEstimator();
-  private readonly isEnabled: mechanisms.IsOn;
+  private readonly isEnabled: placementFeatures.IsEnabled;
   private engines = new Map<string, Engine>();
   private readonly placed = new Map<string, PlacedGeneration>();
   private readonly entries = new Map<string, EntryState>();
   /** Target engine of each generation being moved; reports do not include its memory there yet. */
   private readonly moveTargets = new Map<string, string>();
   /** Recent starts on each engine, by placement or move. */
-  private readonly recentStarts = new recentCount.RecentCount(warmUpBounds.COLD_WINDOW);
+  private readonly recentStarts = new slidingWindowCounter.SlidingWindowCounter(warmUpBounds.COLD_WINDOW);
   private loads: Map<string, memoryPeak.GenerationMemory[]> | undefined;
 
-  constructor(isEnabled: mechanisms.IsOn = mechanisms.allOn) {
+  constructor(isEnabled: placementFeatures.IsEnabled = placementFeatures.allEnabled) {
     this.isEnabled = isEnabled;
   }
 
@@ -293,7 +293,8 @@
       const isExcluded = engine.draining || engine.evacuated || excluded.has(engine.identity);
       const isAllowed = residency.allows(engine.dataCentre, facts.dataCentres);
       const isUnderRateLimit =
-        this.recentStarts.of(engine.identity, now) < (engine.warmUpRateLimit ?? Number.POSITIVE_INFINITY);
+        this.recentStarts.countOf(engine.identity, now) <
+        (engine.warmUpRateLimit ?? Number.POSITIVE_INFINITY);
       if (engine.service !== facts.service || isExcluded || !isAllowed || !isUnderRateLimit) {
         continue;
       }
--- a/packages/kumquatfront/src/placement/evacuation.spec.ts
+++ b/packages/kumquatfront/src/placement/evacuation.spec.ts
@@ -29,7 +29,7 @@
 }
 
 function running(identity: string, changes: Partial<types.RunningGeneration> = {}): types.RunningGeneration {
-  const facts: types.GenerationFacts = {
+  const facts: types.GenerationAttributes = {
     identity,
     service: 'llm',
     promptTokens: 3_000,
--- a/packages/kumquatfront/src/placement/forecast.spec.ts
+++ b/packages/kumquatfront/src/placement/forecast.spec.ts
@@ -10,7 +10,7 @@
 import * as memoryPeak from './memoryPeak.js';
 import type * as types from './types.js';
 
-const facts: types.GenerationFacts = {
+const facts: types.GenerationAttributes = {
   identity: 'r',
   service: 'llm',
   promptTokens: 3_000,
--- a/packages/kumquatfront/src/placement/lengthForecast.ts
+++ b/packages/kumquatfront/src/placement/lengthForecast.ts
@@ -27,12 +27,12 @@
 export class LengthForecast {
   private readonly samples = new Map<string, number[]>();
 
-  private keyOf(facts: types.GenerationFacts): string {
+  private keyOf(facts: types.GenerationAttributes): string {
     return `${facts.service} ${facts.rank}`;
   }
 
   /** Records the output length of a completed generation. */
-  observe(facts: types.GenerationFacts, output: number): void {
+  observe(facts: types.GenerationAttributes, output: number): void {
     const samples = this.samples.get(this.keyOf(facts)) ?? [];
     samples.push(output);
     if (samples.length > MAXIMUM_SAMPLES) {
@@ -42,7 +42,7 @@
   }
 
   /** Mean of the observed lengths above `produced`; undefined with too few observations. */
-  private observedMean(facts: types.GenerationFacts, produced: number): number | undefined {
+  private observedMean(facts: types.GenerationAttributes, produced: number): number | undefined {
     const samples = this.samples.get(this.keyOf(facts)) ?? [];
     if (samples.length < MINIMUM_SAMPLES) {
       return undefined;
@@ -62,7 +62,7 @@
    * forecast.totalOutput(facts, 120);
    * ```
    */
-  totalOutput(facts: types.GenerationFacts, produced: number): number {
+  totalOutput(facts: types.GenerationAttributes, produced: number): number {
     const { lengthHint: hint, outputLimit } = facts;
     const observed = this.observedMean(facts, produced);
     const estimate =
@@ -78,7 +78,7 @@
   }
 
   /** Expected number of output tokens still to be produced. */
-  remainingOutput(facts: types.GenerationFacts, produced: number): number {
+  remainingOutput(facts: types.GenerationAttributes, produced: number): number {
     return Math.max(0, this.totalOutput(facts, produced) - produced);
   }
 }
