--- a/packages/kumquatfront/src/placement/overload.spec.ts
+++ b/packages/kumquatfront/src/placement/overload.spec.ts
@@ -14,7 +14,7 @@
 import * as warmUpBounds from '../warmUp/warmUpBounds.js';
 import * as coordinator from './coordinator.js';
 import type * as types from './types.js';
-import * as waitingRules from './waitingRules.js';
+import * as waitLimits from './waitLimits.js';
 
 const MEMORY = 22_000;
 const MILLISECONDS_PER_TOKEN = 8;
@@ -22,7 +22,7 @@
 const OBJECTIVE = 1_800;
 
 interface Run {
-  readonly facts: types.GenerationFacts;
+  readonly facts: types.GenerationAttributes;
   readonly length: number;
   readonly instance: string;
   readonly beganAt: number;
@@ -78,7 +78,7 @@
     warmUpTolerance: warmUpBounds.strictTolerance,
     isEvacuated: () => false,
     serviceOf: () => service,
-    entries: () => ['e'],
+    entryNames: () => ['e'],
     move: noop,
   });
   const runs = new Map<string, Run>();
@@ -97,7 +97,7 @@
     });
     counts.overfilled += [...held.values()].filter((tokens) => tokens > MEMORY).length;
     sequence += 1;
-    placementCoordinator.report({
+    placementCoordinator.applyReport({
       ...{ entry: 'e', address: 'e:1', epoch: 'x', sequence, leaving: [], unlisted: [] },
       generations,
       finished,
@@ -111,7 +111,7 @@
     const urgent = random.next() < 0.5;
     const normal = Math.sqrt(-2 * Math.log(random.next() + 1e-9)) * Math.cos(2 * Math.PI * random.next());
     const length = urgent ? 12 : Math.max(8, Math.min(2_200, Math.round(700 * Math.exp(0.84 * normal))));
-    const facts: types.GenerationFacts = {
+    const facts: types.GenerationAttributes = {
       identity: `g${index}`,
       service: 'llm',
       promptTokens: urgent ? 2_200 : 3_000,
@@ -121,8 +121,8 @@
       account: '',
     };
     const requestedAt = time.now();
-    const patience = waitingRules.longestWait(OBJECTIVE, 39_000, facts.rank);
-    placementCoordinator.place(
+    const patience = waitLimits.maximumWait(OBJECTIVE, 39_000, facts.rank);
+    placementCoordinator.requestPlacement(
       {
         ...{ facts, entry: 'e', dataCentre: 'a', excluded: [], likeness: facts.identity, patience },
         ...{ objective: OBJECTIVE, objectiveLeft: OBJECTIVE },
--- a/packages/kumquatfront/src/placement/placementFeatures.spec.ts
+++ b/packages/kumquatfront/src/placement/placementFeatures.spec.ts
@@ -5,15 +5,15 @@
 import * as test from 'node:test';
 
 import * as coordinatorTestHarness from './coordinatorTestHarness.js';
-import * as mechanisms from './mechanisms.js';
+import * as placementFeatures from './placementFeatures.js';
 
 void test.test('named features are disabled, all others are enabled', () => {
-  const isEnabled = mechanisms.without(['evacuation']).unwrap();
+  const isEnabled = placementFeatures.withDisabled(['evacuation']).unwrap();
   assert.deepEqual([isEnabled('evacuation'), isEnabled('memoryBound')], [false, true]);
 });
 
 void test.test('an unknown feature name is rejected with a list of the valid ones', () => {
-  const refused = mechanisms.without(['evacuation', 'magic']);
+  const refused = placementFeatures.withDisabled(['evacuation', 'magic']);
   assert.ok(!refused.ok);
   assert.match(refused.val.message, /magic/);
   assert.match(refused.val.remedy, /memoryBound/);
@@ -21,8 +21,8 @@
 
 // One engine with memory for one generation: only the memory limit prevents placing the second one.
 void test.test('without the memory limit a full engine accepts more generations', () => {
-  const disabled = mechanisms.without(['memoryBound']).unwrap();
-  const states = [mechanisms.allOn, disabled].map((isEnabled) => {
+  const disabled = placementFeatures.withDisabled(['memoryBound']).unwrap();
+  const states = [placementFeatures.allEnabled, disabled].map((isEnabled) => {
     const harness = new coordinatorTestHarness.CoordinatorTestHarness(1, 1, isEnabled).start();
     harness.requestPlacement('first');
     harness.advance(500);
--- a/packages/kumquatfront/src/placement/mechanisms.ts
+++ b/packages/kumquatfront/src/placement/placementFeatures.ts
@@ -6,7 +6,7 @@
 import * as results from '../kernel/results.js';
 
 /** Names of the features, as used in the settings. */
-export const NAMES = [
+export const FEATURES = [
   /** Placement takes into account the prompts that an engine must process before the first event. */
   'readingPace',
   /** The memory forecast limits which generations an engine accepts. */
@@ -22,16 +22,16 @@
 ] as const;
 
 /** Name of a placement feature. */
-export type Feature = (typeof NAMES)[number];
+export type Feature = (typeof FEATURES)[number];
 
 /** Returns whether a feature is enabled. */
-export type IsOn = (feature: Feature) => boolean;
+export type IsEnabled = (feature: Feature) => boolean;
 
 /** Enables every feature. */
-export const allOn: IsOn = () => true;
+export const allEnabled: IsEnabled = () => true;
 
 function isFeature(name: unknown): name is Feature {
-  return NAMES.some((known) => known === name);
+  return FEATURES.some((known) => known === name);
 }
 
 /**
@@ -44,11 +44,11 @@
  * const isEnabled = placementFeatures.withDisabled(['evacuation']);
  * ```
  */
-export function without(names: readonly unknown[]): results.Result<IsOn, failures.Failure> {
+export function withDisabled(names: readonly unknown[]): results.Result<IsEnabled, failures.Failure> {
   const unknownName = names.find((name) => !isFeature(name));
   if (unknownName !== undefined) {
     const message = `Unknown placement feature ${JSON.stringify(unknownName)} in the list of disabled features.`;
-    return results.Err(failures.create('badInput', message, `Name some of: ${NAMES.join(', ')}.`));
+    return results.Err(failures.create('badInput', message, `Name some of: ${FEATURES.join(', ')}.`));
   }
   const disabled = new Set(names);
   return results.Ok((feature) => !disabled.has(feature));
--- a/packages/kumquatfront/src/placement/placementQueue.ts
+++ b/packages/kumquatfront/src/placement/placementQueue.ts
@@ -26,7 +26,7 @@
 /** Forecasts that determine the order of the queue. */
 export interface RequestForecasts {
   /** Forecast output length in tokens. */
-  readonly expectedOutput: (facts: types.GenerationFacts) => number;
+  readonly expectedOutput: (facts: types.GenerationAttributes) => number;
   readonly timelinessOf: (
     queued: Pick<QueuedRequest, 'request' | 'since'>,
     now: ports.Milliseconds,
--- a/packages/kumquatfront/src/placement/ranks.spec.ts
+++ b/packages/kumquatfront/src/placement/ranks.spec.ts
@@ -10,20 +10,20 @@
 import type * as types from './types.js';
 
 const ACCOUNT_PRIORITY = 1;
-const SHORT = ranks.of(0, ACCOUNT_PRIORITY);
-const LONG = ranks.of(1, ACCOUNT_PRIORITY);
+const SHORT = ranks.fromPriorities(0, ACCOUNT_PRIORITY);
+const LONG = ranks.fromPriorities(1, ACCOUNT_PRIORITY);
 
 void test.test('the account priority takes precedence over the route priority', () => {
-  assert.ok(ranks.of(5, 0) < ranks.of(0, 1));
+  assert.ok(ranks.fromPriorities(5, 0) < ranks.fromPriorities(0, 1));
   assert.ok(SHORT < LONG);
-  assert.ok(ranks.of(1_000, 0) < ranks.of(0, 1));
-  assert.equal(ranks.of(2), 2);
+  assert.ok(ranks.fromPriorities(1_000, 0) < ranks.fromPriorities(0, 1));
+  assert.equal(ranks.fromPriorities(2), 2);
 });
 
 void test.test('a generation on an urgent route is urgent for any account priority', () => {
   assert.equal(ranks.isPatient(SHORT), false);
   assert.equal(ranks.isPatient(LONG), true);
-  assert.equal(ranks.isPatient(ranks.of(0)), false);
+  assert.equal(ranks.isPatient(ranks.fromPriorities(0)), false);
 });
 
 // Guards against ranking by account priority alone, which would queue urgent generations behind patient ones.
@@ -44,7 +44,7 @@
 // Guards against underestimating long generations, which would overcommit engines and cause preemption.
 void test.test('output lengths are observed separately for each rank', () => {
   const forecast = new lengthForecast.LengthForecast();
-  const factsOf = (rank: number): types.GenerationFacts => ({
+  const factsOf = (rank: number): types.GenerationAttributes => ({
     ...{ identity: 'g', service: 'llm', promptTokens: 3_000, outputLimit: 2_000, lengthHint: 0 },
     ...{ rank, account: 'school' },
   });
--- a/packages/kumquatfront/src/placement/ranks.ts
+++ b/packages/kumquatfront/src/placement/ranks.ts
@@ -20,7 +20,7 @@
  * ranks.fromPriorities(0, 1) < ranks.fromPriorities(1, 1); // true
  * ```
  */
-export function of(routePriority: number, accountPriority = 0): number {
+export function fromPriorities(routePriority: number, accountPriority = 0): number {
   return accountPriority * ROUTE_RANKS + Math.min(routePriority, ROUTE_RANKS - 1);
 }
 
--- a/packages/kumquatfront/src/placement/types.ts
+++ b/packages/kumquatfront/src/placement/types.ts
@@ -5,7 +5,7 @@
 import type * as ports from '../kernel/ports.js';
 
 /** Attributes of a generation that determine its placement; they do not change while it runs. */
-export interface GenerationFacts {
+export interface GenerationAttributes {
   readonly identity: string;
   readonly service: string;
   readonly promptTokens: number;
@@ -23,7 +23,7 @@
 
 /** An entry's request to place one generation on an engine. */
 export interface PlacementRequest {
-  readonly facts: GenerationFacts;
+  readonly facts: GenerationAttributes;
   readonly entry: string;
   readonly dataCentre: string;
   /** Identities of engines that must not be selected. */
@@ -51,7 +51,7 @@
 
 /** State of a running generation as reported by its entry. */
 export interface RunningGeneration {
-  readonly facts: GenerationFacts;
+  readonly facts: GenerationAttributes;
   readonly instance: string;
   /** Output tokens produced so far. */
   readonly produced: number;
@@ -78,7 +78,7 @@
 
 /** A completed generation. */
 export interface FinishedGeneration {
-  readonly facts: GenerationFacts;
+  readonly facts: GenerationAttributes;
   readonly produced: number;
 }
 
--- a/packages/kumquatfront/src/placement/waitingRules.ts
+++ b/packages/kumquatfront/src/placement/waitLimits.ts
@@ -31,7 +31,7 @@
  * waitLimits.maximumWait(1800, 39000, 1); // 216
  * ```
  */
-export function longestWait(
+export function maximumWait(
   objective: ports.Milliseconds,
   totalTimeout: ports.Milliseconds,
   rank: number,
--- a/packages/kumquatfront/src/quarantine/contentDigest.spec.ts
+++ b/packages/kumquatfront/src/quarantine/contentDigest.spec.ts
@@ -20,22 +20,22 @@
   };
 }
 
-const digest = contentDigest.of(request(), 'school-1');
+const digest = contentDigest.forRequest(request(), 'school-1');
 
 void test.test('a retry of a request has the same digest', () => {
-  const again = request({ identity: 'r2', arrivedAt: 900, headers: [['X-Guess', '12']], patience: 5 });
-  assert.equal(contentDigest.of(again, 'school-1'), digest);
+  const again = request({ identity: 'r2', arrivedAt: 900, headers: [['X-Guess', '12']], callerTimeout: 5 });
+  assert.equal(contentDigest.forRequest(again, 'school-1'), digest);
   assert.match(digest, /^[0-9a-f]{32}$/);
 });
 
 void test.test('a different path, query, body, method, host or account gives a different digest', () => {
   const others = [
-    contentDigest.of(request({ path: '/reports/2?page=2' }), 'school-1'),
-    contentDigest.of(request({ path: '/reports/1?page=3' }), 'school-1'),
-    contentDigest.of(request({ body: Buffer.from('receipt') }), 'school-1'),
-    contentDigest.of(request({ method: 'PUT' }), 'school-1'),
-    contentDigest.of(request({ host: 'other.example' }), 'school-1'),
-    contentDigest.of(request(), 'school-2'),
+    contentDigest.forRequest(request({ path: '/reports/2?page=2' }), 'school-1'),
+    contentDigest.forRequest(request({ path: '/reports/1?page=3' }), 'school-1'),
+    contentDigest.forRequest(request({ body: Buffer.from('receipt') }), 'school-1'),
+    contentDigest.forRequest(request({ method: 'PUT' }), 'school-1'),
+    contentDigest.forRequest(request({ host: 'other.example' }), 'school-1'),
+    contentDigest.forRequest(request(), 'school-2'),
   ];
   assert.equal(new Set([digest, ...others]).size, others.length + 1);
 });
@@ -44,5 +44,5 @@
 void test.test('parts that concatenate to the same text give different digests', () => {
   const one = request({ path: '/a', body: Buffer.from('') });
   const other = request({ path: '/', body: Buffer.from('a') });
-  assert.notEqual(contentDigest.of(one, ''), contentDigest.of(other, ''));
+  assert.notEqual(contentDigest.forRequest(one, ''), contentDigest.forRequest(other, ''));
 });
--- a/packages/kumquatfront/src/quarantine/contentDigest.ts
+++ b/packages/kumquatfront/src/quarantine/contentDigest.ts
@@ -23,7 +23,7 @@
  * contentDigest.fromParts(['POST', '/v1/completions', 'school-1'], body);
  * ```
  */
-export function ofParts(parts: readonly string[], body: string | Uint8Array): string {
+export function fromParts(parts: readonly string[], body: string | Uint8Array): string {
   return crypto
     .createHash('sha256')
     .update(JSON.stringify(parts))
@@ -45,13 +45,13 @@
  * contentDigest.forRequest(request, 'school-1');
  * ```
  */
-export function of(request: relayTypes.TrafficRequest, account: string): string {
+export function forRequest(request: relayTypes.TrafficRequest, account: string): string {
   const cached = digestCache.get(request);
   if (cached !== undefined) {
     return cached;
   }
   const { method, host, path, body } = request;
-  const digest = ofParts([method, host, path, account], body);
+  const digest = fromParts([method, host, path, account], body);
   digestCache.set(request, digest);
   return digest;
 }
--- a/packages/kumquatfront/src/quarantine/crashDetector.spec.ts
+++ b/packages/kumquatfront/src/quarantine/crashDetector.spec.ts
@@ -4,7 +4,7 @@
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
 
-import * as instanceBench from '../instances/instanceBench.js';
+import * as instanceTestHarness from '../instances/instanceTestHarness.js';
 import type * as instanceView from '../instances/instanceView.js';
 import * as timerService from '../kernel/timerService.js';
 import * as virtualTime from '../kernel/virtualTime.js';
@@ -16,7 +16,7 @@
   readonly time = new virtualTime.VirtualTime();
   readonly crashes: string[] = [];
   readonly instancesDown: string[] = [];
-  sign: relayTypes.ConnectionSign = 'refused';
+  sign: relayTypes.ConnectionCheckResult = 'refused';
   isTerminating = false;
   checks = 0;
   readonly detector = new crashDetector.CrashDetector({
@@ -28,26 +28,26 @@
         done(sign);
       });
     },
-    hasGivenNotice: () => this.isTerminating,
+    isTerminating: () => this.isTerminating,
     onCrash: ({ content, instance, sign }) => {
       this.crashes.push(`${content} ${instance} ${sign}`);
     },
-    onEnded: (instance) => this.instancesDown.push(instance),
+    onInstanceDown: (instance) => this.instancesDown.push(instance),
   });
 
   instance(identity = 'a'): instanceView.Instance {
-    return { ...instanceBench.announcement(identity), firstAt: 0, coldUntil: 0 };
+    return { ...instanceTestHarness.announcement(identity), firstSeenAt: 0, coldUntil: 0 };
   }
 
   /** Starts and breaks a run of a content on instance `a`. */
   breakOff(content: string): void {
-    const run = this.detector.begun('a', content, 'r');
-    this.detector.broke(this.instance(), run, () => undefined);
+    const run = this.detector.runStarted('a', content, 'r');
+    this.detector.runBroken(this.instance(), run, () => undefined);
   }
 
   /** Reports a change of instance `a`. */
   changeInstance(event: instanceView.InstanceEvent, state: 'ready' | 'leaving' = 'ready'): void {
-    this.detector.onInstance({ instance: { ...this.instance(), state }, event });
+    this.detector.onInstanceChange({ instance: { ...this.instance(), state }, event });
   }
 }
 
@@ -73,7 +73,7 @@
   const harness = new Harness();
   harness.isTerminating = true;
   harness.breakOff('x');
-  harness.detector.begun('a', 'y', 'r');
+  harness.detector.runStarted('a', 'y', 'r');
   harness.time.advance(100);
   harness.changeInstance('gone', 'leaving');
   assert.deepEqual(harness.crashes, []);
@@ -85,7 +85,7 @@
   const harness = new Harness();
   harness.sign = 'unknown';
   harness.breakOff('x');
-  harness.detector.begun('a', 'y', 'r');
+  harness.detector.runStarted('a', 'y', 'r');
   harness.time.advance(5_000);
   assert.deepEqual(harness.crashes, []);
   harness.changeInstance('gone');
@@ -115,8 +115,8 @@
 // The run was answered or cancelled by its caller before the crash.
 void test.test('a run that finished before a crash is not reported', () => {
   const harness = new Harness();
-  const run = harness.detector.begun('a', 'x', 'r');
-  harness.detector.ended('a', run);
+  const run = harness.detector.runStarted('a', 'x', 'r');
+  harness.detector.runFinished('a', run);
   harness.changeInstance('gone');
   assert.deepEqual(harness.crashes, []);
 });
@@ -126,8 +126,8 @@
   const harness = new Harness();
   let calls = 0;
   for (let index = 0; index < 8; index += 1) {
-    const run = harness.detector.begun('a', `x${index}`, 'r');
-    harness.detector.broke(harness.instance(), run, () => {
+    const run = harness.detector.runStarted('a', `x${index}`, 'r');
+    harness.detector.runBroken(harness.instance(), run, () => {
       calls += 1;
     });
   }
@@ -150,11 +150,11 @@
   const slow = new crashDetector.CrashDetector({
     timers: timerService.create(harness.time.clock, harness.time),
     check: () => undefined,
-    hasGivenNotice: () => false,
+    isTerminating: () => false,
     onCrash: () => undefined,
-    onEnded: () => undefined,
+    onInstanceDown: () => undefined,
   });
-  slow.broke(harness.instance(), slow.begun('a', 'x', 'r'), () => {
+  slow.runBroken(harness.instance(), slow.runStarted('a', 'x', 'r'), () => {
     calledAt = harness.time.now();
   });
   harness.time.advance(1_000);
--- a/packages/kumquatfront/src/quarantine/crashDetector.ts
+++ b/packages/kumquatfront/src/quarantine/crashDetector.ts
@@ -15,7 +15,7 @@
 const CHECK_DELAY: ports.Milliseconds = 3;
 
 /** Maximum time that an exchange waits for a connection check. A later result is still evaluated. */
-const MAX_CHECK_WAIT: ports.Milliseconds = 60;
+const MAXIMUM_CHECK_WAIT: ports.Milliseconds = 60;
 
 /** How long a broken run is kept for confirmation; longer than control takes to drop an instance and notify entries. */
 const CONFIRMATION_TIMEOUT: ports.Milliseconds = 8_000;
@@ -43,12 +43,12 @@
 export interface CrashDetectorOptions {
   readonly timers: timerService.TimerService;
   /** Tries to connect to an address. */
-  readonly check: (address: string, done: (sign: relayTypes.ConnectionSign) => void) => void;
+  readonly check: (address: string, done: (sign: relayTypes.ConnectionCheckResult) => void) => void;
   /** Returns true if a termination notice of the instance is known. */
-  readonly hasGivenNotice: (identity: string) => boolean;
+  readonly isTerminating: (identity: string) => boolean;
   readonly onCrash: (crash: DetectedCrash) => void;
   /** Called when the address of an instance refuses connections. */
-  readonly onEnded: (instance: string) => void;
+  readonly onInstanceDown: (instance: string) => void;
 }
 
 interface Run {
@@ -68,7 +68,7 @@
       done();
     }
   };
-  const cancel = timers.after(MAX_CHECK_WAIT, call);
+  const cancel = timers.after(MAXIMUM_CHECK_WAIT, call);
   return call;
 }
 
@@ -86,7 +86,7 @@
   }
 
   /** Records the start of a run and returns its identifier. */
-  begun(instance: string, content: string, request: string): number {
+  runStarted(instance: string, content: string, request: string): number {
     this.lastRunId += 1;
     const runs = this.runs.get(instance) ?? new Map<number, Run>();
     this.runs.set(instance, runs);
@@ -95,7 +95,7 @@
   }
 
   /** Records the end of a run that is no evidence of a crash: it was answered or cancelled. */
-  ended(instance: string, runId: number): void {
+  runFinished(instance: string, runId: number): void {
     const runs = this.runs.get(instance);
     runs?.delete(runId);
     if (runs?.size === 0) {
@@ -108,11 +108,11 @@
    *
    * @param done - called after the check, or synchronously if none is needed
    */
-  broke(instance: CheckedInstance, runId: number, done: () => void): void {
+  runBroken(instance: CheckedInstance, runId: number, done: () => void): void {
     const { identity } = instance;
     const run = this.runs.get(identity)?.get(runId);
-    if (run === undefined || this.options.hasGivenNotice(identity)) {
-      this.ended(identity, runId);
+    if (run === undefined || this.options.isTerminating(identity)) {
+      this.runFinished(identity, runId);
       done();
       return;
     }
@@ -139,7 +139,7 @@
         const callbacks = this.checking.get(identity) ?? [];
         this.checking.delete(identity);
         if (sign === 'refused') {
-          this.options.onEnded(identity);
+          this.options.onInstanceDown(identity);
           this.reportCrashes(identity, 'refusesConnections');
         } else if (sign === 'accepted') {
           this.discardBrokenRuns(identity);
@@ -152,7 +152,7 @@
   }
 
   /** Handles a change of an instance as published by control. */
-  onInstance({ instance, event }: instanceView.InstanceChange): void {
+  onInstanceChange({ instance, event }: instanceView.InstanceChange): void {
     const { identity, state } = instance;
     if (event === 'replaced') {
       this.reportCrashes(identity, 'startedAnew');
@@ -177,7 +177,7 @@
   private discardBrokenRuns(instance: string): void {
     for (const [runId, { brokeAt }] of this.runs.get(instance) ?? []) {
       if (brokeAt !== undefined) {
-        this.ended(instance, runId);
+        this.runFinished(instance, runId);
       }
     }
   }
@@ -187,7 +187,7 @@
     for (const [instance, runs] of this.runs) {
       for (const [runId, { brokeAt }] of runs) {
         if (brokeAt !== undefined && now - brokeAt > CONFIRMATION_TIMEOUT) {
-          this.ended(instance, runId);
+          this.runFinished(instance, runId);
         }
       }
     }
--- a/packages/kumquatfront/src/quarantine/caseAge.ts
+++ b/packages/kumquatfront/src/quarantine/crashRecordAge.ts
@@ -15,7 +15,7 @@
  * store.merge(crashRecordAge.advance(record, 250), now);
  * ```
  */
-export function after(record: types.CaseRecord, elapsed: ports.Milliseconds): types.CaseRecord {
+export function advance(record: types.CrashRecord, elapsed: ports.Milliseconds): types.CrashRecord {
   const { voidedAge, imposedAge } = record;
   return {
     ...record,
--- a/packages/kumquatfront/src/quarantine/crashRecordStore.spec.ts
+++ b/packages/kumquatfront/src/quarantine/crashRecordStore.spec.ts
@@ -130,7 +130,7 @@
     instance: fc.constantFrom('a', 'b', 'c', 'd'),
     age: fc.integer({ min: 1, max: 900 }),
   });
-  const record: fc.Arbitrary<types.CaseRecord> = fc.record(
+  const record: fc.Arbitrary<types.CrashRecord> = fc.record(
     {
       content: fc.constant('x'),
       crashes: fc.array(crash, { maxLength: 2 }),
--- a/packages/kumquatfront/src/quarantine/crashRecordStore.ts
+++ b/packages/kumquatfront/src/quarantine/crashRecordStore.ts
@@ -31,10 +31,10 @@
 const EXPIRED_QUARANTINE_RETENTION: ports.Milliseconds = 48 * 3_600_000;
 
 /** Maximum number of records; beyond it, records that are not quarantined are evicted first. */
-const MAX_RECORDS = 2_000;
+const MAXIMUM_RECORDS = 2_000;
 
 /** Maximum number of crashes kept for one content. */
-const MAX_CRASHES_PER_RECORD = 8;
+const MAXIMUM_CRASHES_PER_RECORD = 8;
 
 interface StoredRecord {
   readonly content: string;
@@ -131,14 +131,14 @@
   }
 
   /** Merges a crash record from another process; returns true if the stored record changed. */
-  merge(record: types.CaseRecord, now: number): boolean {
+  merge(record: types.CrashRecord, now: number): boolean {
     const stored = this.records.get(record.content) ?? this.create(record.content, now);
     const before = JSON.stringify(this.comparableStateOf(stored));
     stored.voidedAt = Math.max(stored.voidedAt, now - (record.voidedAge ?? Number.POSITIVE_INFINITY));
     stored.imposedAt = Math.max(stored.imposedAt, now - (record.imposedAge ?? Number.POSITIVE_INFINITY));
     stored.lapses = Math.max(stored.lapses, record.lapses);
     for (const { instance, age } of record.crashes) {
-      if (!stored.crashes.has(instance) && stored.crashes.size < MAX_CRASHES_PER_RECORD) {
+      if (!stored.crashes.has(instance) && stored.crashes.size < MAXIMUM_CRASHES_PER_RECORD) {
         stored.crashes.set(instance, now - age);
       }
     }
@@ -246,7 +246,7 @@
 
   /** Evicts the least recently changed record beyond `MAX_RECORDS`, if possible one that is not quarantined. */
   private evictExcessRecord(): void {
-    if (this.records.size <= MAX_RECORDS) {
+    if (this.records.size <= MAXIMUM_RECORDS) {
       return;
     }
     const byAge = [...this.records.values()].sort((left, right) => left.changedAt - right.changedAt);
@@ -256,7 +256,7 @@
     }
   }
 
-  private toCrashRecord(stored: StoredRecord, now: number): types.CaseRecord {
+  private toCrashRecord(stored: StoredRecord, now: number): types.CrashRecord {
     const { content, crashes, voidedAt, imposedAt, lapses } = stored;
     return {
       content,
@@ -268,13 +268,13 @@
   }
 
   /** The crash record of a content, for publishing; undefined if there is none. */
-  recordOf(content: string, now: number): types.CaseRecord | undefined {
+  recordOf(content: string, now: number): types.CrashRecord | undefined {
     const stored = this.records.get(content);
     return stored === undefined ? undefined : this.toCrashRecord(stored, now);
   }
 
   /** Crash records that changed after a revision. */
-  updatesSince(revision: number, now: number): types.CaseNews {
+  updatesSince(revision: number, now: number): types.CrashRecordUpdate {
     const changed = [...this.records.values()].filter((stored) => stored.revision > revision);
     return {
       revision: this.currentRevision,
--- a/packages/kumquatfront/src/quarantine/caseReporter.ts
+++ b/packages/kumquatfront/src/quarantine/crashReporter.ts
@@ -11,7 +11,7 @@
 const RETRY_INTERVAL: ports.Milliseconds = 300;
 
 /** Limits the size of one message to about ten kilobytes. */
-const MAX_RECORDS_PER_MESSAGE = 32;
+const MAXIMUM_RECORDS_PER_MESSAGE = 32;
 
 /** Dependencies of the reporter. */
 export interface CrashReporterOptions {
@@ -19,11 +19,11 @@
   readonly peers: ports.PeerTransport;
   /** Addresses of the control replicas that this entry watches. */
   readonly replicas: () => readonly string[];
-  readonly caseOf: (content: string) => types.CaseRecord | undefined;
+  readonly recordOf: (content: string) => types.CrashRecord | undefined;
 }
 
 /** Reports crash records to control replicas; see the module comment. */
-export class CaseReporter {
+export class CrashReporter {
   private readonly options: CrashReporterOptions;
   /** Contents whose latest record a replica has not acknowledged yet, by replica address. */
   private readonly pending = new Map<string, Set<string>>();
@@ -35,14 +35,14 @@
   }
 
   /** Reports the crash records of contents to every replica. */
-  tellAll(contents: readonly string[]): void {
+  reportToAll(contents: readonly string[]): void {
     for (const address of this.options.replicas()) {
-      this.tell(address, contents);
+      this.reportTo(address, contents);
     }
   }
 
   /** Reports the crash records of contents to one replica. */
-  tell(address: string, contents: readonly string[]): void {
+  reportTo(address: string, contents: readonly string[]): void {
     const pending = this.pending.get(address) ?? new Set<string>();
     this.pending.set(address, pending);
     for (const content of contents) {
@@ -52,7 +52,7 @@
   }
 
   private send(address: string): void {
-    const { peers, timers, caseOf: recordOf, replicas } = this.options;
+    const { peers, timers, recordOf, replicas } = this.options;
     const pending = this.pending.get(address);
     if (pending === undefined || this.inFlight.has(address)) {
       return;
@@ -61,12 +61,12 @@
       this.pending.delete(address);
       return;
     }
-    const contents = [...pending].slice(0, MAX_RECORDS_PER_MESSAGE);
+    const contents = [...pending].slice(0, MAXIMUM_RECORDS_PER_MESSAGE);
     contents.forEach((content) => pending.delete(content));
     const records = contents.map(recordOf).filter((record) => record !== undefined);
     this.inFlight.add(address);
-    const message: methods.CaseReport = { cases: records };
-    peers.request(address, methods.methods.cases, message, RETRY_INTERVAL, (result) => {
+    const message: methods.CrashRecordReport = { cases: records };
+    peers.request(address, methods.methods.crashRecords, message, RETRY_INTERVAL, (result) => {
       this.inFlight.delete(address);
       if (result.ok) {
         this.send(address);
--- a/packages/kumquatfront/src/quarantine/crashBench.ts
+++ b/packages/kumquatfront/src/quarantine/crashTestHarness.ts
@@ -3,15 +3,15 @@
  * certain requests and restart seconds later as new instances, or send back-pressure signals in their answers.
  */
 import * as seededRandom from '../adapters/seededRandom.js';
-import * as instanceBench from '../instances/instanceBench.js';
+import * as instanceTestHarness from '../instances/instanceTestHarness.js';
 import type * as instanceTypes from '../instances/types.js';
 import type * as ports from '../kernel/ports.js';
 import type * as virtualTime from '../kernel/virtualTime.js';
-import * as relayBench from '../relay/relayBench.js';
+import * as relayTestHarness from '../relay/relayTestHarness.js';
 import type * as relayTypes from '../relay/types.js';
-import * as controlBench from '../trafficControl/controlBench.js';
+import * as controlTestHarness from '../trafficControl/controlTestHarness.js';
 import type * as trafficEntry from '../trafficEntry/trafficEntry.js';
-import * as crashBenchTraffic from './crashBenchTraffic.js';
+import * as crashTestTraffic from './crashTestTraffic.js';
 
 /** Effect of a request on the upstream that runs it. */
 export type Effect = 'served' | 'crashes';
@@ -49,7 +49,7 @@
 
 /** Response head that an upstream sent to an entry. */
 export interface Answer {
-  readonly head: relayTypes.UpstreamHead;
+  readonly head: relayTypes.ResponseHead;
   readonly upstream: string;
   readonly entry: string;
   readonly at: ports.Milliseconds;
@@ -85,15 +85,15 @@
 export const REPLICAS: readonly string[] = ['c1', 'c2', 'c3'];
 
 /** Simulated system with crashing upstreams; see the module comment. */
-export class CrashBench {
-  readonly control: controlBench.ControlBench;
+export class CrashTestHarness {
+  readonly control: controlTestHarness.ControlTestHarness;
   readonly time: virtualTime.VirtualTime;
   readonly arrivals: Arrival[] = [];
   readonly crashes: Crash[] = [];
   readonly attempts: Attempt[] = [];
   readonly answers: Answer[] = [];
   /** Response head of an upstream; a head with `notRun` is sent immediately. */
-  headOf: (upstream: string, entry: string) => relayTypes.UpstreamHead = () => relayBench.soundHead;
+  headOf: (upstream: string, entry: string) => relayTypes.ResponseHead = () => relayTestHarness.okHead;
   private readonly entries = new Map<string, trafficEntry.TrafficEntry>();
   private readonly upstreams: Upstream[] = [];
   private requestCount = 0;
@@ -112,7 +112,7 @@
     seed = 3,
     private readonly dataCentres: readonly string[] = ['a'],
   ) {
-    this.control = new controlBench.ControlBench(REPLICAS, 1, crashBenchTraffic, seed);
+    this.control = new controlTestHarness.ControlTestHarness(REPLICAS, 1, crashTestTraffic, seed);
     this.time = this.control.time;
     this.time.advance(6_000);
     this.control.replace('c1', 1);
@@ -144,7 +144,7 @@
 
   private addUpstream(service: ServiceName, name: string, dataCentre = 'a'): void {
     const address = `${name}:80`;
-    const announcement = instanceBench.announcement(name, { service, address, dataCentre });
+    const announcement = instanceTestHarness.announcement(name, { service, address, dataCentre });
     const upstream: Upstream = { announcement, starts: 1, alive: true, runs: new Set() };
     this.upstreams.push(upstream);
     this.announce(upstream);
@@ -155,7 +155,7 @@
     if (upstream.alive) {
       const { sequence } = announcement;
       upstream.announcement = { ...announcement, sequence: sequence + 1 };
-      const replica = this.control.anyAlive();
+      const replica = this.control.anyRunningReplica();
       if (replica !== undefined) {
         this.control.trafficOf(replica).announce(upstream.announcement);
       }
@@ -187,7 +187,7 @@
       upstream.starts += 1;
       const name = `${upstream.announcement.address.split(':')[0] ?? service}.${upstream.starts}`;
       const { address, dataCentre } = upstream.announcement;
-      upstream.announcement = instanceBench.announcement(name, { service, address, dataCentre });
+      upstream.announcement = instanceTestHarness.announcement(name, { service, address, dataCentre });
       upstream.alive = true;
       this.announce(upstream);
     });
@@ -205,7 +205,7 @@
       copyMemory: (_source, _target, _request, _stop, done) => {
         done({ state: 'failed', reason: 'the test harness does not support copies' });
       },
-      dropCopy: () => undefined,
+      releaseCopy: () => undefined,
     };
   }
 
@@ -228,7 +228,7 @@
         this.arrivals.push({ content, upstream, dataCentre, entry, at: this.time.now() });
         this.run(found, run);
       } else {
-        listener.head({ ...relayBench.notRunHead, status: 421 });
+        listener.head({ ...relayTestHarness.notRunHead, status: 421 });
         listener.end();
       }
     });
@@ -242,12 +242,12 @@
     const service = upstream.announcement.service as ServiceName;
     const { content, entry, listener } = run;
     const { identity } = upstream.announcement;
-    const answer = (head: relayTypes.UpstreamHead): void => {
+    const answer = (head: relayTypes.ResponseHead): void => {
       upstream.runs.delete(run);
       this.answers.push({ head, upstream: identity, entry, at: this.time.now() });
       listener.head(head);
       if (!head.notRun) {
-        listener.data(relayBench.event(1));
+        listener.data(relayTestHarness.streamEvent(1));
       }
       listener.end();
     };
@@ -289,7 +289,7 @@
    *
    * @param done - called with the outcome
    */
-  ask(
+  sendRequest(
     entry: string,
     service: ServiceName,
     content: string,
@@ -314,7 +314,7 @@
       refuse: (refusal) => {
         settle(refusal.reason, refusal);
       },
-      whole: () => {
+      respond: () => {
         settle('served');
       },
       begin: () => undefined,
@@ -325,7 +325,7 @@
       abort: () => {
         settle('broken');
       },
-      onGone: () => undefined,
+      onDisconnect: () => undefined,
     });
     return attempt;
   }
@@ -337,7 +337,7 @@
     for (let at = 0; at < length; at += 1_000 / perSecond) {
       this.time.after(at, () => {
         const entry = entryNames[Math.floor(random.next() * entryNames.length)] ?? '';
-        this.ask(entry, service, `request ${at}`);
+        this.sendRequest(entry, service, `request ${at}`);
       });
     }
     this.time.advance(length);
@@ -347,7 +347,7 @@
     const generation = { promptTokens: 900, outputLimit: 44, lengthHint: 2, prompt: content };
     return {
       identity: `r${this.requestCount}`,
-      host: crashBenchTraffic.HOST,
+      host: crashTestTraffic.HOST,
       path: PATHS[service] + 'x',
       method: 'POST',
       headers: [],
--- a/packages/kumquatfront/src/quarantine/crashBenchTraffic.ts
+++ b/packages/kumquatfront/src/quarantine/crashTestTraffic.ts
@@ -1,7 +1,7 @@
 /**
  * Routes, services and client accounts of the crash test harness.
  */
-import * as relayBench from '../relay/relayBench.js';
+import * as relayTestHarness from '../relay/relayTestHarness.js';
 import type * as trafficTypes from '../traffic/types.js';
 import type * as warmUpBounds from '../warmUp/warmUpBounds.js';
 
@@ -42,7 +42,7 @@
 
 /** Services behind the routes. */
 export const services: readonly trafficTypes.Service[] = [
-  { name: 'llm', maximumConnections: 200, warmUp: WARM_UP, engine: relayBench.engineTraits },
+  { name: 'llm', maximumConnections: 200, warmUp: WARM_UP, engine: relayTestHarness.engineTraits },
   { name: 'app', maximumConnections: 100, warmUp: WARM_UP },
 ];
 
--- a/packages/kumquatfront/src/quarantine/guardedUpstreams.spec.ts
+++ b/packages/kumquatfront/src/quarantine/guardedUpstreams.spec.ts
@@ -5,15 +5,15 @@
 import * as test from 'node:test';
 
 import type * as instanceView from '../instances/instanceView.js';
-import * as relayBench from '../relay/relayBench.js';
+import * as relayTestHarness from '../relay/relayTestHarness.js';
 
 function send(
-  harness: relayBench.RelayBench,
+  harness: relayTestHarness.RelayTestHarness,
   instance: instanceView.Instance,
   dataCentres?: readonly string[],
 ): string[] {
   const events: string[] = [];
-  const { request } = harness.routed('stream');
+  const { request } = harness.createRoutedRequest('stream');
   harness.context.upstreams.send(
     { request, instance, timeLeft: 1_000, dataCentres },
     {
@@ -29,7 +29,7 @@
 // An outdated decision of the coordinator, or a copy started earlier, may lead to a data centre evacuated since. The
 // exchange must learn that nothing was sent, so that it can use another upstream.
 void test.test('nothing is sent into an evacuated data centre, whoever chose the upstream', () => {
-  const harness = new relayBench.RelayBench(['a']);
+  const harness = new relayTestHarness.RelayTestHarness(['a']);
   const instance = harness.context.instances.get('a');
   assert.ok(instance);
   harness.context.instances.setEvacuated([instance.dataCentre]);
@@ -37,21 +37,21 @@
   assert.deepEqual(events, []);
   harness.time.advance(1);
   assert.deepEqual(events, ['withheld']);
-  assert.equal(harness.sent.length, 0);
+  assert.equal(harness.sentCalls.length, 0);
   harness.context.instances.setEvacuated([]);
   send(harness, instance);
-  assert.equal(harness.sent.length, 1);
+  assert.equal(harness.sentCalls.length, 1);
 });
 
 // The regions of a route changed while the request was being placed.
 void test.test('nothing is sent to a region where the request may not run', () => {
-  const harness = new relayBench.RelayBench(['a']);
+  const harness = new relayTestHarness.RelayTestHarness(['a']);
   const instance = harness.context.instances.get('a');
   assert.ok(instance);
   const events = send(harness, instance, ['elsewhere']);
   harness.time.advance(1);
   assert.deepEqual(events, ['withheld']);
-  assert.equal(harness.sent.length, 0);
+  assert.equal(harness.sentCalls.length, 0);
   send(harness, instance, [instance.dataCentre]);
-  assert.equal(harness.sent.length, 1);
+  assert.equal(harness.sentCalls.length, 1);
 });
--- a/packages/kumquatfront/src/quarantine/guardedUpstreams.ts
+++ b/packages/kumquatfront/src/quarantine/guardedUpstreams.ts
@@ -6,8 +6,8 @@
  * If a run of a suspected content breaks, its failure is passed on only after the connection check: an exchange would
  * otherwise resend it before the crash that quarantines the content is recorded.
  */
-import type * as sendRules from '../backPressure/sendRules.js';
-import type * as signalBook from '../backPressure/signalBook.js';
+import type * as sendPolicy from '../backPressure/sendPolicy.js';
+import type * as signalRegistry from '../backPressure/signalRegistry.js';
 import type * as ports from '../kernel/ports.js';
 import type * as timerService from '../kernel/timerService.js';
 import type * as relayTypes from '../relay/types.js';
@@ -22,9 +22,9 @@
   readonly log: ports.Log;
   readonly quarantine: quarantine.Quarantine;
   /** Receives the back-pressure signals in answers of upstreams. */
-  readonly signals: signalBook.SignalBook;
+  readonly signals: signalRegistry.SignalRegistry;
   /** Decides whether an upstream may be sent a request now. */
-  readonly rules: sendRules.SendRules;
+  readonly policy: sendPolicy.SendPolicy;
 }
 
 /** Reports the outcome of one run to the crash detector. */
@@ -41,7 +41,7 @@
   ) {
     const { instance, request } = call;
     this.sentAt = options.timers.now();
-    this.runId = options.quarantine.detector.begun(instance.identity, content, request.identity);
+    this.runId = options.quarantine.detector.runStarted(instance.identity, content, request.identity);
   }
 
   /** Wraps a listener so that this run observes its events. */
@@ -73,7 +73,7 @@
   private complete(): void {
     this.finish(false);
     if (this.succeeded) {
-      this.options.quarantine.answered(this.content);
+      this.options.quarantine.recordAnswer(this.content);
     }
   }
 
@@ -93,13 +93,13 @@
     const { detector } = quarantineState;
     const { instance } = this.call;
     if (!mayHaveCrashed) {
-      detector.ended(instance.identity, this.runId);
+      detector.runFinished(instance.identity, this.runId);
       proceed();
     } else if (quarantineState.verdictOf(this.content) === 'free') {
-      detector.broke(instance, this.runId, () => undefined);
+      detector.runBroken(instance, this.runId, () => undefined);
       proceed();
     } else {
-      detector.broke(instance, this.runId, proceed);
+      detector.runBroken(instance, this.runId, proceed);
     }
   }
 }
@@ -115,14 +115,14 @@
  * ```
  */
 export function create(options: GuardedUpstreamsOptions): relayTypes.UpstreamPort {
-  const { upstreams, timers, quarantine: quarantineState, rules: policy } = options;
+  const { upstreams, timers, quarantine: quarantineState, policy } = options;
   const send: relayTypes.UpstreamPort['send'] = (call, listener) => {
-    const content = contentDigest.of(call.request, call.account ?? '');
+    const content = contentDigest.forRequest(call.request, call.account ?? '');
     if (quarantineState.verdictOf(content) === 'quarantined') {
-      return failAsynchronously(timers, listener, 'quarantined', quarantine.QUARANTINED);
+      return failAsynchronously(timers, listener, 'quarantined', quarantine.QUARANTINED_MESSAGE);
     }
     const now = timers.now();
-    const exclusion = policy.holdOf(call.instance, now);
+    const exclusion = policy.exclusionOf(call.instance, now);
     if (exclusion !== undefined && !mayResumeFromCopy(call, exclusion)) {
       options.log.info('withheld', {
         request: call.request.identity,
@@ -155,7 +155,7 @@
  * A generation that continues from a copy of its memory would be lost if it were not sent, because its source has
  * stopped. Only an evacuation prevents it; other exclusions are checked before the source stops.
  */
-function mayResumeFromCopy({ copy }: relayTypes.UpstreamCall, { reason }: sendRules.Exclusion): boolean {
+function mayResumeFromCopy({ copy }: relayTypes.UpstreamCall, { reason }: sendPolicy.Exclusion): boolean {
   return copy !== undefined && reason !== 'evacuated';
 }
 
--- a/packages/kumquatfront/src/quarantine/quarantine.spec.ts
+++ b/packages/kumquatfront/src/quarantine/quarantine.spec.ts
@@ -5,7 +5,7 @@
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
 
-import * as crashBench from './crashBench.js';
+import * as crashTestHarness from './crashTestHarness.js';
 
 const CRASHING_CONTENT = 'kills';
 
@@ -15,31 +15,31 @@
 /** Maximum time from the start of all processes until the system is ready. */
 const STARTUP_LIMIT = 6_000;
 
-function effectOf(content: string): crashBench.Effect {
+function effectOf(content: string): crashTestHarness.Effect {
   return content.startsWith(CRASHING_CONTENT) ? 'crashes' : 'served';
 }
 
-function create(seed?: number): crashBench.CrashBench {
-  return new crashBench.CrashBench(7, { llm: 6, app: 4 }, effectOf, seed);
+function create(seed?: number): crashTestHarness.CrashTestHarness {
+  return new crashTestHarness.CrashTestHarness(7, { llm: 6, app: 4 }, effectOf, seed);
 }
 
 /** Crashes three upstreams by two attempts at two entries. */
-function crashThreeUpstreams(harness: crashBench.CrashBench): void {
-  harness.ask('e1', 'llm', CRASHING_CONTENT);
+function crashThreeUpstreams(harness: crashTestHarness.CrashTestHarness): void {
+  harness.sendRequest('e1', 'llm', CRASHING_CONTENT);
   harness.time.advance(1_500);
-  harness.ask('e2', 'llm', CRASHING_CONTENT);
+  harness.sendRequest('e2', 'llm', CRASHING_CONTENT);
   harness.time.advance(PROPAGATION_LIMIT);
   assert.equal(harness.crashes.length, 3);
 }
 
 /** Sends the crashing request to an entry; returns true if it is refused without reaching an upstream. */
-function isRefused(harness: crashBench.CrashBench, entry: string): boolean {
+function isRefused(harness: crashTestHarness.CrashTestHarness, entry: string): boolean {
   const arrived = harness.arrivals.length;
-  const attempt = harness.ask(entry, 'llm', CRASHING_CONTENT);
+  const attempt = harness.sendRequest(entry, 'llm', CRASHING_CONTENT);
   return attempt.outcome === 'quarantined' && harness.arrivals.length === arrived;
 }
 
-function assertRefusedEverywhere(harness: crashBench.CrashBench): void {
+function assertRefusedEverywhere(harness: crashTestHarness.CrashTestHarness): void {
   const sending = harness.entryNames.filter((entry) => !isRefused(harness, entry));
   assert.deepEqual(sending, []);
 }
@@ -62,7 +62,7 @@
     harness.attempts.map(({ outcome }) => outcome),
     ['outcomeUnknown', 'outcomeUnknown'],
   );
-  const later = harness.ask('e3', 'llm', CRASHING_CONTENT);
+  const later = harness.sendRequest('e3', 'llm', CRASHING_CONTENT);
   assert.equal(later.refusal?.reason, 'quarantined');
   assert.equal(later.refusal.retryAfter, undefined);
 });
@@ -71,7 +71,7 @@
 void test.test('the same request of another client account is not refused', () => {
   const harness = create();
   crashThreeUpstreams(harness);
-  const other = harness.ask('e3', 'llm', CRASHING_CONTENT, () => undefined, 'school-2');
+  const other = harness.sendRequest('e3', 'llm', CRASHING_CONTENT, () => undefined, 'school-2');
   assert.notEqual(other.outcome, 'quarantined');
   harness.time.advance(300);
   assert.equal(harness.arrivals.filter(({ entry }) => entry === 'e3').length, 1);
@@ -84,7 +84,7 @@
   const { entryNames } = harness;
   entryNames.forEach((entry, index) => {
     harness.time.after(index * 150, () => {
-      harness.ask(entry, 'llm', CRASHING_CONTENT);
+      harness.sendRequest(entry, 'llm', CRASHING_CONTENT);
     });
   });
   harness.time.advance(5_000);
@@ -100,7 +100,7 @@
   crashThreeUpstreams(harness);
   harness.startEntry('e8');
   const outcomes: (string | undefined)[] = [];
-  harness.ask('e8', 'llm', CRASHING_CONTENT, ({ outcome }) => outcomes.push(outcome));
+  harness.sendRequest('e8', 'llm', CRASHING_CONTENT, ({ outcome }) => outcomes.push(outcome));
   harness.time.advance(2_000);
   assert.deepEqual(outcomes, ['quarantined']);
   assert.equal(harness.crashes.length, 3);
@@ -109,9 +109,9 @@
 // The leader fails right before the third crash; the exchange of crash records needs no quorum.
 void test.test('the loss of the leader does not delay a quarantine', () => {
   const harness = create();
-  harness.ask('e1', 'llm', CRASHING_CONTENT);
+  harness.sendRequest('e1', 'llm', CRASHING_CONTENT);
   harness.time.advance(1_500);
-  harness.ask('e2', 'llm', CRASHING_CONTENT);
+  harness.sendRequest('e2', 'llm', CRASHING_CONTENT);
   harness.time.advance(450);
   harness.control.kill(harness.control.leader());
   harness.time.advance(PROPAGATION_LIMIT);
@@ -122,20 +122,20 @@
 // An entry is partitioned from two of three replicas.
 void test.test('an entry that reaches only one replica learns of a quarantine', () => {
   const harness = create();
-  harness.control.cut('e7', 'c1');
-  harness.control.cut('e7', 'c2');
+  harness.control.partition('e7', 'c1');
+  harness.control.partition('e7', 'c2');
   harness.time.advance(2_000);
   crashThreeUpstreams(harness);
   assertRefusedEverywhere(harness);
 });
 
 /** Kills all control replicas and restarts them with their disks. */
-function restartControl(harness: crashBench.CrashBench): void {
-  crashBench.REPLICAS.forEach((replica) => {
+function restartControl(harness: crashTestHarness.CrashTestHarness): void {
+  crashTestHarness.REPLICAS.forEach((replica) => {
     harness.control.kill(replica);
   });
   harness.time.advance(500);
-  crashBench.REPLICAS.forEach((replica) => {
+  crashTestHarness.REPLICAS.forEach((replica) => {
     harness.control.start(replica);
   });
 }
@@ -151,7 +151,7 @@
 });
 
 /** Kills all processes and restarts them with their disks. */
-function restartAll(harness: crashBench.CrashBench): void {
+function restartAll(harness: crashTestHarness.CrashTestHarness): void {
   const { entryNames } = harness;
   entryNames.forEach((entry) => {
     harness.control.kill(entry);
@@ -182,11 +182,11 @@
 
 // The entry would resend within a millisecond; it must wait for the connection check of the crashed upstream first.
 void test.test('the entry that detects the third crash does not resend the request', () => {
-  const harness = new crashBench.CrashBench(7, { llm: 6, app: 12 }, effectOf);
+  const harness = new crashTestHarness.CrashTestHarness(7, { llm: 6, app: 12 }, effectOf);
   for (let round = 0; round < 5; round += 1) {
-    harness.ask('e1', 'app', `${CRASHING_CONTENT} ${round}`);
+    harness.sendRequest('e1', 'app', `${CRASHING_CONTENT} ${round}`);
     harness.time.advance(500);
-    harness.ask('e2', 'app', `${CRASHING_CONTENT} ${round}`);
+    harness.sendRequest('e2', 'app', `${CRASHING_CONTENT} ${round}`);
     harness.time.advance(STARTUP_LIMIT);
   }
   assert.equal(harness.crashes.length, 15);
@@ -197,13 +197,13 @@
 // entries reported them again.
 void test.test('crashes that control has lost are reported to it again', () => {
   const harness = create();
-  harness.ask('e1', 'llm', CRASHING_CONTENT);
+  harness.sendRequest('e1', 'llm', CRASHING_CONTENT);
   harness.time.advance(1_500);
   assert.equal(harness.crashes.length, 2);
   restartControl(harness);
   harness.startEntry('e8');
   harness.time.advance(STARTUP_LIMIT);
-  harness.ask('e8', 'llm', CRASHING_CONTENT);
+  harness.sendRequest('e8', 'llm', CRASHING_CONTENT);
   harness.time.advance(PROPAGATION_LIMIT);
   assert.equal(harness.crashes.length, 3);
   assertRefusedEverywhere(harness);
@@ -213,7 +213,7 @@
 void test.test('crashes without a common request quarantine nothing', () => {
   const harness = create();
   for (let round = 0; round < 30; round += 1) {
-    harness.ask(`e${(round % 7) + 1}`, 'llm', `other ${round}`);
+    harness.sendRequest(`e${(round % 7) + 1}`, 'llm', `other ${round}`);
     if (round % 5 === 4) {
       harness.time.advance(450);
       harness.crashOne('llm');
@@ -234,13 +234,13 @@
 }
 
 /** Sends three crashing contents among many other requests, with a retry of each failed request. */
-function simulateBystanders(service: crashBench.ServiceName, gap: number, seed: number): Bystanders {
+function simulateBystanders(service: crashTestHarness.ServiceName, gap: number, seed: number): Bystanders {
   const harness = create(seed);
   const askTwice = (entry: string, content: string): void => {
-    harness.ask(entry, service, content, (first) => {
+    harness.sendRequest(entry, service, content, (first) => {
       if (first.outcome !== 'served') {
         harness.time.after(300, () => {
-          harness.ask(`e${(seed % 7) + 1}`, service, content);
+          harness.sendRequest(`e${(seed % 7) + 1}`, service, content);
         });
       }
     });
--- a/packages/kumquatfront/src/quarantine/quarantine.ts
+++ b/packages/kumquatfront/src/quarantine/quarantine.ts
@@ -9,7 +9,8 @@
 import type * as types from './types.js';
 
 /** Error message for callers whose request is quarantined. */
-export const QUARANTINED = 'several upstreams crashed while running this request; retrying it will not help';
+export const QUARANTINED_MESSAGE =
+  'several upstreams crashed while running this request; retrying it will not help';
 
 const EXPIRY_INTERVAL: ports.Milliseconds = 1_000;
 
@@ -19,7 +20,7 @@
   readonly log: ports.Log;
   readonly metrics: ports.Metrics;
   /** Reports the changed crash record of a content to other processes. */
-  readonly tell: (content: string) => void;
+  readonly report: (content: string) => void;
 }
 
 /** Tracks crashes and quarantined contents of an entry; see the module comment. */
@@ -57,7 +58,7 @@
   }
 
   /** Log fields of a content: digest, crashed instances and remaining time of its quarantine. */
-  describe(content: string): ports.LogFields {
+  logFieldsOf(content: string): ports.LogFields {
     return {
       content,
       ended: this.store.instancesOf(content).join(' '),
@@ -66,7 +67,7 @@
   }
 
   /** Registers a callback for the quarantine of a content; the returned function unregisters it. */
-  whenQuarantined(content: string, callback: () => void): ports.Cancel {
+  onQuarantined(content: string, callback: () => void): ports.Cancel {
     const listeners = this.listeners.get(content) ?? new Set();
     this.listeners.set(content, listeners);
     listeners.add(callback);
@@ -79,27 +80,27 @@
   }
 
   /** Records a complete answer to a content, which voids its earlier crashes. */
-  answered(content: string): void {
+  recordAnswer(content: string): void {
     if (this.store.recordAnswer(content, this.options.timers.now())) {
       this.options.log.info('crashesVoid', { content, cause: 'answered' });
-      this.options.tell(content);
+      this.options.report(content);
     }
   }
 
   /** Merges crash records from other processes. */
-  take(records: readonly types.CaseRecord[]): void {
+  mergeRecords(records: readonly types.CrashRecord[]): void {
     for (const record of records) {
       this.store.merge(record, this.options.timers.now());
     }
   }
 
   /** The crash record of a content; undefined if there is none. */
-  caseOf(content: string): types.CaseRecord | undefined {
+  recordOf(content: string): types.CrashRecord | undefined {
     return this.store.recordOf(content, this.options.timers.now());
   }
 
   /** Contents that have a crash record. */
-  contents(): readonly string[] {
+  trackedContents(): readonly string[] {
     return this.store.updatesSince(0, this.options.timers.now()).cases.map(({ content }) => content);
   }
 
@@ -109,7 +110,7 @@
   }
 
   private onCrash({ content, instance, sign, request }: crashDetector.DetectedCrash): void {
-    const { timers, log, metrics, tell: report } = this.options;
+    const { timers, log, metrics, report } = this.options;
     if (!this.store.recordCrash(content, instance, timers.now())) {
       return;
     }
--- a/packages/kumquatfront/src/quarantine/quarantineRegistry.spec.ts
+++ b/packages/kumquatfront/src/quarantine/quarantineRegistry.spec.ts
@@ -5,7 +5,7 @@
 import * as test from 'node:test';
 
 import * as agreedState from '../agreedState/agreedState.js';
-import * as caseBook from './caseBook.js';
+import * as quarantineRegistry from './quarantineRegistry.js';
 import * as crashRecordStore from './crashRecordStore.js';
 
 /** A registry over a log of one replica, which commits every proposal immediately. */
@@ -17,15 +17,15 @@
   registry = this.createRegistry();
 
   /** Creates the registry of a restarted replica from the replicated log. */
-  createRegistry(): caseBook.CaseBook {
+  createRegistry(): quarantineRegistry.QuarantineRegistry {
     const silent = (): void => undefined;
-    return new caseBook.CaseBook({
+    return new quarantineRegistry.QuarantineRegistry({
       now: () => this.now,
       log: { debug: silent, info: silent, warn: silent, error: silent },
       metrics: { count: silent, gauge: silent, timing: silent },
       agreed: () => this.state.quarantined,
       mayLead: () => this.mayLead,
-      mostAgreed: this.state.mostQuarantined,
+      maximumAgreed: this.state.maximumQuarantined,
       propose: (command) => {
         this.proposed.push(`${command.type} ${command.content}`);
         this.state.apply(command, this.proposed.length, this.now);
@@ -36,7 +36,7 @@
   /** Merges a record with three crashes, as reported by entries. */
   reportCrashes(content: string): void {
     const crashes = ['a', 'b', 'c'].map((name) => ({ instance: `${content}-${name}`, age: 0 }));
-    this.registry.hear([{ content, crashes, lapses: 0 }]);
+    this.registry.mergeRecords([{ content, crashes, lapses: 0 }]);
   }
 }
 
@@ -45,11 +45,11 @@
   harness.reportCrashes('x');
   harness.reportCrashes('x');
   harness.now = 5_000;
-  harness.registry.beat();
+  harness.registry.tick();
   assert.deepEqual(harness.proposed, ['quarantine x']);
   const started = harness.createRegistry();
   assert.deepEqual(
-    started.newsSince(0)?.cases.map(({ content }) => content),
+    started.updatesSince(0)?.cases.map(({ content }) => content),
     ['x'],
   );
 });
@@ -58,7 +58,7 @@
   const harness = new Harness();
   harness.mayLead = false;
   harness.reportCrashes('x');
-  harness.registry.beat();
+  harness.registry.tick();
   assert.deepEqual(harness.proposed, []);
 });
 
@@ -67,17 +67,17 @@
   const harness = new Harness();
   harness.reportCrashes('x');
   harness.now = 100;
-  harness.registry.hear([{ content: 'x', crashes: [], voidedAge: 10, lapses: 0 }]);
+  harness.registry.mergeRecords([{ content: 'x', crashes: [], voidedAge: 10, lapses: 0 }]);
   assert.deepEqual(harness.proposed, ['quarantine x', 'release x']);
   assert.deepEqual(harness.state.quarantined, []);
-  assert.equal(harness.createRegistry().newsSince(0), undefined);
+  assert.equal(harness.createRegistry().updatesSince(0), undefined);
 });
 
 void test.test('an expired quarantine is released', () => {
   const harness = new Harness();
   harness.reportCrashes('x');
   harness.now = crashRecordStore.FIRST_QUARANTINE_DURATION + 10;
-  harness.registry.beat();
+  harness.registry.tick();
   assert.deepEqual(harness.proposed, ['quarantine x', 'release x']);
 });
 
@@ -88,9 +88,9 @@
     harness.reportCrashes(content);
   });
   harness.now = 5_000;
-  harness.registry.beat();
+  harness.registry.tick();
   assert.deepEqual(harness.proposed, ['quarantine x', 'quarantine y']);
-  assert.equal(harness.registry.newsSince(0)?.cases.length, 3);
+  assert.equal(harness.registry.updatesSince(0)?.cases.length, 3);
 });
 
 // A replica that lags behind restores its state from a snapshot.
--- a/packages/kumquatfront/src/quarantine/caseBook.ts
+++ b/packages/kumquatfront/src/quarantine/quarantineRegistry.ts
@@ -21,14 +21,14 @@
   readonly propose: (command: agreedTypes.QuarantineCommand | agreedTypes.ReleaseCommand) => void;
   readonly mayLead: () => boolean;
   /** Maximum number of contents in the replicated log; any others are kept in memory only. */
-  readonly mostAgreed: number;
+  readonly maximumAgreed: number;
 }
 
 /** Minimum time between two proposals of the same command; longer than an election and a disk sync. */
 const PROPOSAL_RETRY_INTERVAL: ports.Milliseconds = 2_000;
 
 /** Collects, publishes and replicates quarantines; see the module comment. */
-export class CaseBook {
+export class QuarantineRegistry {
   private readonly options: QuarantineRegistryOptions;
   private readonly store: crashRecordStore.CrashRecordStore;
   private appliedQuarantines: readonly string[] = [];
@@ -50,7 +50,7 @@
   }
 
   /** Crash records that changed after a revision; undefined if none did. */
-  newsSince(revision: number): types.CaseNews | undefined {
+  updatesSince(revision: number): types.CrashRecordUpdate | undefined {
     this.applyAgreedQuarantines();
     return revision >= this.store.revision
       ? undefined
@@ -58,7 +58,7 @@
   }
 
   /** Merges crash records from an entry; returns true if any of them changed the stored state. */
-  hear(records: readonly types.CaseRecord[]): boolean {
+  mergeRecords(records: readonly types.CrashRecord[]): boolean {
     this.applyAgreedQuarantines();
     const now = this.options.now();
     const changes = records.map((record) => this.store.merge(record, now));
@@ -67,7 +67,7 @@
   }
 
   /** Periodic work: expires records and proposes changes to the replicated log. */
-  beat(): void {
+  tick(): void {
     this.applyAgreedQuarantines();
     this.store.expire(this.options.now());
     this.proposeChanges();
@@ -95,7 +95,7 @@
     }
     const agreed = new Set(this.options.agreed());
     const missing = this.store.quarantined.filter((content) => !agreed.has(content));
-    for (const content of missing.slice(0, Math.max(0, this.options.mostAgreed - agreed.size))) {
+    for (const content of missing.slice(0, Math.max(0, this.options.maximumAgreed - agreed.size))) {
       this.proposeThrottled({ type: 'quarantine', content });
     }
     for (const content of agreed) {
--- a/packages/kumquatfront/src/quarantine/types.ts
+++ b/packages/kumquatfront/src/quarantine/types.ts
@@ -14,7 +14,7 @@
 }
 
 /** All recorded crashes of one content, as exchanged between processes. Receivers merge it into their own record. */
-export interface CaseRecord {
+export interface CrashRecord {
   /** Digest of the content. */
   readonly content: string;
   readonly crashes: readonly InstanceCrash[];
@@ -27,7 +27,7 @@
 }
 
 /** Crash records that changed after a given revision of one publisher. */
-export interface CaseNews {
+export interface CrashRecordUpdate {
   readonly revision: number;
-  readonly cases: readonly CaseRecord[];
+  readonly cases: readonly CrashRecord[];
 }
--- a/packages/kumquatfront/src/relay/plainExchange.ts
+++ b/packages/kumquatfront/src/relay/bufferedExchange.ts
@@ -16,12 +16,12 @@
 interface Attempt {
   readonly instance: instanceView.Instance;
   readonly cancel: types.CancelExchange;
-  head: types.UpstreamHead | undefined;
+  head: types.ResponseHead | undefined;
   readonly chunks: Uint8Array[];
 }
 
 /** One exchange with a buffered response; see the module comment. */
-export class PlainExchange {
+export class BufferedExchange {
   private readonly context: exchangeContext.ExchangeContext;
   private readonly routed: exchangeContext.RoutedRequest;
   private readonly triedUpstreams = new Set<string>();
@@ -30,7 +30,7 @@
   private possibleRuns = 0;
   private sendCount = 0;
   private ended = false;
-  private lastFailure: { head: types.UpstreamHead; body: Uint8Array } | undefined;
+  private lastFailure: { head: types.ResponseHead; body: Uint8Array } | undefined;
   /** Upstreams that responded with a server error. */
   private readonly failedUpstreams: string[] = [];
   private cancelDeadline: ports.Cancel = () => undefined;
@@ -48,10 +48,10 @@
 
   /** Sends the request to its first upstream. */
   start(): void {
-    const { timers, allowance: retryBudget } = this.context;
+    const { timers, retryBudget } = this.context;
     const { caller, deadline, service, route } = this.routed;
     retryBudget.recordRequest(service.name, timers.now());
-    caller.onGone(() => {
+    caller.onDisconnect(() => {
       this.finish({ outcome: 'callerGone' });
     });
     this.cancelDeadline = timers.after(deadline - timers.now(), () => {
@@ -91,13 +91,13 @@
 
   /** Takes one retry from the shared budget; called only after an upstream for it was found. */
   private takeRetry(): boolean {
-    const { allowance: retryBudget, timers } = this.context;
+    const { retryBudget, timers } = this.context;
     return retryBudget.take(this.routed.service.name, timers.now());
   }
 
   /** Next upstream that was not tried; undefined if none is left. */
   private nextUpstream(): instanceView.Instance | undefined {
-    const { choice: balancer, timers } = this.context;
+    const { balancer, timers } = this.context;
     const candidates = exchangeContext.candidatesOf(this.context, this.routed);
     return balancer.choose(candidates, this.triedUpstreams, timers.now());
   }
@@ -112,7 +112,7 @@
   }
 
   private send(instance: instanceView.Instance): void {
-    const { choice: balancer, timers, upstreams } = this.context;
+    const { balancer, timers, upstreams } = this.context;
     const { request, account, deadline, dataCentres } = this.routed;
     const now = timers.now();
     this.triedUpstreams.add(instance.identity);
@@ -142,12 +142,12 @@
 
   private close(attempt: Attempt): void {
     if (this.openAttempts.delete(attempt)) {
-      this.context.choice.recordCompletion(attempt.instance.identity);
+      this.context.balancer.recordCompletion(attempt.instance.identity);
     }
   }
 
   private onResponse(attempt: Attempt): void {
-    const { choice: balancer, timers, log } = this.context;
+    const { balancer, timers, log } = this.context;
     const { head, instance } = attempt;
     this.close(attempt);
     if (this.ended || head === undefined) {
@@ -187,14 +187,14 @@
 
   /** Records failures of the upstreams that failed the request, once the request is known not to be the cause. */
   private recordUpstreamFailures(): void {
-    const { choice: balancer, timers } = this.context;
+    const { balancer, timers } = this.context;
     for (const identity of this.failedUpstreams) {
       balancer.recordFailure(identity, 'failure', timers.now());
     }
   }
 
-  private deliver(head: types.UpstreamHead, body: Uint8Array, instance?: instanceView.Instance): void {
-    this.routed.caller.whole(head, body);
+  private deliver(head: types.ResponseHead, body: Uint8Array, instance?: instanceView.Instance): void {
+    this.routed.caller.respond(head, body);
     this.finish({
       outcome: 'answered',
       status: head.status,
@@ -204,7 +204,7 @@
   }
 
   private onAttemptFailed(attempt: Attempt, failure: types.ExchangeFailure, reason: string): void {
-    const { choice: balancer, timers, log } = this.context;
+    const { balancer, timers, log } = this.context;
     this.close(attempt);
     if (this.ended) {
       return;
@@ -266,7 +266,7 @@
   /** Refuses the request and cancels open attempts, so that its content crashes no further upstream. */
   private refuseQuarantined(): void {
     const reason = this.possibleRuns === 0 ? 'quarantined' : 'outcomeUnknown';
-    this.refuse(reason, quarantine.QUARANTINED);
+    this.refuse(reason, quarantine.QUARANTINED_MESSAGE);
   }
 
   private onNoUpstreamLeft(): void {
@@ -305,7 +305,7 @@
         exchangeContext.NO_UPSTREAM_RETRY_DELAY,
       );
     } else {
-      const { choice: balancer, timers } = this.context;
+      const { balancer, timers } = this.context;
       for (const attempt of this.openAttempts) {
         balancer.recordFailure(attempt.instance.identity, 'stall', timers.now());
         attempt.cancel('silent');
--- a/packages/kumquatfront/src/relay/exchangeContext.ts
+++ b/packages/kumquatfront/src/relay/exchangeContext.ts
@@ -1,7 +1,7 @@
 /**
  * Dependencies and helper functions that all exchanges of an entry share.
  */
-import type * as sendRules from '../backPressure/sendRules.js';
+import type * as sendPolicy from '../backPressure/sendPolicy.js';
 import type * as instanceView from '../instances/instanceView.js';
 import type * as ports from '../kernel/ports.js';
 import type * as timerService from '../kernel/timerService.js';
@@ -9,9 +9,9 @@
 import type * as quarantine from '../quarantine/quarantine.js';
 import type * as quarantineTypes from '../quarantine/types.js';
 import type * as trafficTypes from '../traffic/types.js';
-import type * as localChoice from './localChoice.js';
+import type * as localBalancer from './localBalancer.js';
 import type * as placementClient from './placementClient.js';
-import type * as retryAllowance from './retryAllowance.js';
+import type * as serviceRetryBudget from './serviceRetryBudget.js';
 import type * as types from './types.js';
 
 /** Services that exchanges depend on. */
@@ -22,9 +22,9 @@
   readonly upstreams: types.UpstreamPort;
   readonly instances: instanceView.InstanceView;
   /** Decide which upstreams are temporarily excluded. */
-  readonly rules: sendRules.SendRules;
-  readonly choice: localChoice.LocalChoice;
-  readonly allowance: retryAllowance.RetryAllowance;
+  readonly rules: sendPolicy.SendPolicy;
+  readonly balancer: localBalancer.LocalBalancer;
+  readonly retryBudget: serviceRetryBudget.ServiceRetryBudget;
   readonly placement: placementClient.PlacementClient;
   /** Consulted by `upstreams` before each send. */
   readonly quarantine: quarantine.Quarantine;
@@ -64,7 +64,7 @@
  * ```
  */
 export function contentDigestOf(routed: RoutedRequest): string {
-  return contentDigest.of(routed.request, routed.account ?? '');
+  return contentDigest.forRequest(routed.request, routed.account ?? '');
 }
 
 /**
@@ -107,7 +107,7 @@
 ): types.Refusal & { readonly retryAfter: ports.Milliseconds } {
   const now = context.timers.now();
   const candidates = candidatesOf(context, routed);
-  const exclusion = context.rules.holdOfAll(candidates, now);
+  const exclusion = context.rules.exclusionOfAll(candidates, now);
   if (exclusion === undefined) {
     const message = candidates.length === 0 ? describeNoUpstream(context, routed) : defaultMessage;
     return { reason: 'noUpstream', message, retryAfter: NO_UPSTREAM_RETRY_DELAY };
@@ -123,7 +123,7 @@
   const isElsewhere = dataCentres !== undefined && instances.readyOf(service.name).length > 0;
   return isElsewhere
     ? 'no upstream is ready in a region where the request may run'
-    : instances.whyNoneOf(service.name);
+    : instances.unavailabilityReason(service.name);
 }
 
 /**
@@ -153,7 +153,7 @@
  * @returns a function that removes the callback
  * @example
  * ```ts
- * const cancel = exchangeContext.whenQuarantined(context, routed, () => refuse());
+ * const cancel = exchangeContext.onQuarantined(context, routed, () => refuse());
  * ```
  */
 export function whenQuarantined(
@@ -161,7 +161,7 @@
   routed: RoutedRequest,
   callback: () => void,
 ): ports.Cancel {
-  return context.quarantine.whenQuarantined(contentDigestOf(routed), callback);
+  return context.quarantine.onQuarantined(contentDigestOf(routed), callback);
 }
 
 /**
--- a/packages/kumquatfront/src/relay/generationFacts.ts
+++ b/packages/kumquatfront/src/relay/generationAttributes.ts
@@ -3,7 +3,7 @@
  */
 import * as ranks from '../placement/ranks.js';
 import type * as placementTypes from '../placement/types.js';
-import * as rendezvous from '../utils/rendezvous.js';
+import * as rendezvousHashing from '../utils/rendezvousHashing.js';
 import type * as exchangeContext from './exchangeContext.js';
 
 const EMPTY_DEMAND = { promptTokens: 0, outputLimit: 0, lengthHint: 0, prompt: '' };
@@ -18,7 +18,9 @@
  * const attributes = generationAttributes.forRequest(routed);
  * ```
  */
-export function of(routed: exchangeContext.RoutedRequest): placementTypes.GenerationFacts | undefined {
+export function forRequest(
+  routed: exchangeContext.RoutedRequest,
+): placementTypes.GenerationAttributes | undefined {
   const { request, service, route, account, accountPriority, dataCentres } = routed;
   if (service.engine === undefined) {
     return undefined;
@@ -30,7 +32,7 @@
     promptTokens: generation?.promptTokens ?? 0,
     outputLimit: generation?.outputLimit ?? 0,
     lengthHint: generation?.lengthHint ?? 0,
-    rank: ranks.of(route.priority, accountPriority),
+    rank: ranks.fromPriorities(route.priority, accountPriority),
     account: account ?? '',
     ...(dataCentres !== undefined && { dataCentres }),
   };
@@ -52,5 +54,5 @@
   const { request, route, account = '' } = routed;
   const { promptTokens, outputLimit, lengthHint, prompt } = request.generation ?? EMPTY_DEMAND;
   const parts = [account, route.name, request.path, prompt, promptTokens, outputLimit, lengthHint];
-  return rendezvous.hash(parts.join(' ')).toString(36);
+  return rendezvousHashing.hash(parts.join(' ')).toString(36);
 }
--- a/packages/kumquatfront/src/relay/generationMove.ts
+++ b/packages/kumquatfront/src/relay/generationMove.ts
@@ -78,7 +78,7 @@
 
   private releaseCopy(): void {
     if (this.handle !== undefined) {
-      this.upstreams.dropCopy({ address: this.source.address, handle: this.handle });
+      this.upstreams.releaseCopy({ address: this.source.address, handle: this.handle });
     }
   }
 }
--- a/packages/kumquatfront/src/relay/localChoice.ts
+++ b/packages/kumquatfront/src/relay/localBalancer.ts
@@ -2,20 +2,20 @@
  * Load balancer that uses only local state of the entry: its open requests, the loads that upstreams report with
  * their responses, and passive health checks.
  */
-import type * as sendRules from '../backPressure/sendRules.js';
+import type * as sendPolicy from '../backPressure/sendPolicy.js';
 import type * as instanceView from '../instances/instanceView.js';
 import type * as ports from '../kernel/ports.js';
-import * as health from '../routing/health.js';
+import * as outlierDetector from '../routing/outlierDetector.js';
 import type * as types from './types.js';
 
 /** Reported loads expire after this time; the count of open requests is then more accurate. */
 const REPORTED_LOAD_TTL: ports.Milliseconds = 400;
 
 /** Ejections are short because a restarted upstream gets a new identity. */
-const HEALTH_SETTINGS: health.HealthSettings = {
-  firstEjection: 1_500,
-  longestEjection: 8_000,
-  failuresBeforeEjection: 2,
+const HEALTH_SETTINGS: outlierDetector.OutlierDetectionSettings = {
+  baseEjectionTime: 1_500,
+  maximumEjectionTime: 8_000,
+  consecutiveFailures: 2,
 };
 
 /** Share of a service's upstreams that is never ejected, even if more of them are unhealthy. */
@@ -33,14 +33,14 @@
 export interface LocalBalancerOptions {
   readonly random: ports.Random;
   readonly dataCentre: string;
-  readonly rules: sendRules.SendRules;
+  readonly rules: sendPolicy.SendPolicy;
 }
 
 /** Local load balancer; see the module comment. */
-export class LocalChoice {
+export class LocalBalancer {
   private readonly openRequests = new Map<string, number>();
   private readonly reportedLoads = new Map<string, ReportedLoad>();
-  private readonly health = new health.Health(HEALTH_SETTINGS);
+  private readonly health = new outlierDetector.OutlierDetector(HEALTH_SETTINGS);
   private readonly options: LocalBalancerOptions;
 
   constructor(options: LocalBalancerOptions) {
@@ -50,7 +50,7 @@
   /** Records the start of a request to an instance. */
   recordDispatch({ identity }: instanceView.Instance, now: number): void {
     this.openRequests.set(identity, (this.openRequests.get(identity) ?? 0) + 1);
-    this.health.dispatched(identity, now);
+    this.health.recordDispatch(identity, now);
   }
 
   /** Records the end of a request, whatever its outcome. */
@@ -64,25 +64,25 @@
   }
 
   /** Stores the load that an instance reported with a response. */
-  recordReportedLoad(identity: string, load: NonNullable<types.UpstreamHead['load']>, now: number): void {
+  recordReportedLoad(identity: string, load: NonNullable<types.ResponseHead['load']>, now: number): void {
     this.reportedLoads.set(identity, { total: load.running + load.waiting, at: now });
   }
 
   /** Records a successful request for the passive health check. */
   recordSuccess(identity: string): void {
-    this.health.succeeded(identity);
+    this.health.recordSuccess(identity);
   }
 
   /** Records a failed request for the passive health check. */
-  recordFailure(identity: string, event: health.HealthEvent, now: number): void {
-    this.health.failed(identity, event, now);
+  recordFailure(identity: string, event: outlierDetector.FailureKind, now: number): void {
+    this.health.recordFailure(identity, event, now);
   }
 
   /** Removes all state of an instance. */
   forget(identity: string): void {
     this.openRequests.delete(identity);
     this.reportedLoads.delete(identity);
-    this.health.forget(identity);
+    this.health.removeUpstream(identity);
   }
 
   /** Identities of ejected upstreams, limited to a share of the candidates. */
@@ -113,7 +113,7 @@
     const ejected = new Set(this.ejectedOf(candidates, now));
     const { rules } = this.options;
     const untried = candidates.filter(
-      (instance) => !tried.has(instance.identity) && rules.holdOfChoice(instance, now) === undefined,
+      (instance) => !tried.has(instance.identity) && rules.exclusionFromChoice(instance, now) === undefined,
     );
     const healthy = untried.filter((instance) => !ejected.has(instance.identity));
     let best: instanceView.Instance | undefined;
--- a/packages/kumquatfront/src/relay/placementClient.ts
+++ b/packages/kumquatfront/src/relay/placementClient.ts
@@ -99,7 +99,7 @@
   }
 
   /** Sends pending requests again, since the former coordinator may never respond. */
-  coordinatorChanged(): void {
+  onCoordinatorChange(): void {
     for (const sendRequest of [...this.pendingRequests.values()]) {
       sendRequest();
     }
@@ -171,7 +171,9 @@
         this.pendingRequests.delete(identity);
         const coordinator = this.options.coordinator();
         if (coordinator !== '') {
-          peers.notify(coordinator, methods.methods.withdraw, { identity } satisfies methods.Withdrawal);
+          peers.notify(coordinator, methods.methods.withdraw, {
+            identity,
+          } satisfies methods.PlacementWithdrawal);
         }
       }
     };
--- a/packages/kumquatfront/src/relay/relayBench.ts
+++ b/packages/kumquatfront/src/relay/relayTestHarness.ts
@@ -3,8 +3,8 @@
  */
 import * as seededRandom from '../adapters/seededRandom.js';
 import * as rateLimitShare from '../backPressure/rateLimitShare.js';
-import * as sendRules from '../backPressure/sendRules.js';
-import * as signalBook from '../backPressure/signalBook.js';
+import * as sendPolicy from '../backPressure/sendPolicy.js';
+import * as signalRegistry from '../backPressure/signalRegistry.js';
 import * as instanceTable from '../instances/instanceTable.js';
 import * as instanceView from '../instances/instanceView.js';
 import type * as ports from '../kernel/ports.js';
@@ -19,9 +19,9 @@
 import * as entryShare from '../warmUp/entryShare.js';
 import * as warmUpBounds from '../warmUp/warmUpBounds.js';
 import type * as exchangeContext from './exchangeContext.js';
-import * as localChoice from './localChoice.js';
+import * as localBalancer from './localBalancer.js';
 import * as placementClient from './placementClient.js';
-import * as retryAllowance from './retryAllowance.js';
+import * as serviceRetryBudget from './serviceRetryBudget.js';
 import type * as types from './types.js';
 
 /** A call that was sent to an upstream. */
@@ -40,19 +40,19 @@
 }
 
 /** Head of a successful response. */
-export const soundHead: types.UpstreamHead = {
+export const okHead: types.ResponseHead = {
   status: 200,
   notRun: false,
-  belongs: true,
+  matchesRequest: true,
   signed: true,
   headers: [],
 };
 
 /** Head of a response which states that the request did not run. */
-export const notRunHead: types.UpstreamHead = { ...soundHead, status: 503, notRun: true, signed: false };
+export const notRunHead: types.ResponseHead = { ...okHead, status: 503, notRun: true, signed: false };
 
 /** Encodes a stream event. */
-export function event(identity: number): Uint8Array {
+export function streamEvent(identity: number): Uint8Array {
   return Buffer.from(`id: ${identity}\ndata: x\n\n`);
 }
 
@@ -68,23 +68,23 @@
 };
 
 /** Test harness of the relay; see the module comment. */
-export class RelayBench {
+export class RelayTestHarness {
   readonly time = new virtualTime.VirtualTime();
   readonly timers = timerService.create(this.time.clock, this.time);
   /** Calls that were sent to upstreams, in order. */
-  readonly sent: SentCall[] = [];
+  readonly sentCalls: SentCall[] = [];
   /** Requested memory copies, in order. */
-  readonly copies: CopyRequest[] = [];
+  readonly copyRequests: CopyRequest[] = [];
   /** Handles of released memory copies. */
   readonly releasedCopies: string[] = [];
   /** Placement requests in order. */
-  readonly asked: placementTypes.PlacementRequest[] = [];
+  readonly placementRequests: placementTypes.PlacementRequest[] = [];
   /** Refusals that the caller received. */
   readonly refusals: types.Refusal[] = [];
   /** Responses and events that the caller received, in order. */
-  readonly got: string[] = [];
+  readonly callerEvents: string[] = [];
   /** Engines that the coordinator grants, in order; it does not respond if the list is empty. */
-  readonly places: string[] = [];
+  readonly placements: string[] = [];
   readonly context: exchangeContext.ExchangeContext;
   private notifyCallerGone: () => void = () => undefined;
   private readonly peerHandlers = new Map<string, ports.PeerHandler>();
@@ -99,9 +99,12 @@
     for (const [index, identity] of instances.entries()) {
       const address = `10.0.0.${index + 1}:80`;
       const base = { service: 'llm', dataCentre: 'a', slots: 24, state: 'ready' as const, warmUpLeft: 0 };
-      this.table.hear({ ...base, identity, name: identity, born: 0, address, sequence: 1 }, time.now());
+      this.table.applyAnnouncement(
+        { ...base, identity, name: identity, born: 0, address, sequence: 1 },
+        time.now(),
+      );
     }
-    view.merge('control', this.table.newsSince('', 0, 0), 0);
+    view.merge('control', this.table.updatesSince('', 0, 0), 0);
     const metrics = { count: noop, gauge: noop, timing: noop };
     const guard = new quarantine.Quarantine({
       timers,
@@ -110,26 +113,26 @@
       check: (_address, done) => {
         done('accepted');
       },
-      hasGivenNotice: (identity) => view.get(identity)?.state === 'leaving',
-      tell: noop,
-      onEnded: noop,
+      isTerminating: (identity) => view.get(identity)?.state === 'leaving',
+      report: noop,
+      onInstanceDown: noop,
     });
-    const signals = new signalBook.SignalBook({
+    const signals = new signalRegistry.SignalRegistry({
       timers,
       log,
       metrics,
-      noteNotice: (identity) => view.noteNotice(identity, time.now()),
-      toldOf: (identity) => view.get(identity)?.rateLimit,
-      tell: noop,
+      recordTerminationNotice: (identity) => view.recordTerminationNotice(identity, time.now()),
+      publishedRateLimitOf: (identity) => view.get(identity)?.rateLimit,
+      publishRateLimit: noop,
     });
-    const rules = new sendRules.SendRules({
+    const rules = new sendPolicy.SendPolicy({
       entry: 'entry',
       random,
       instances: view,
       signals,
       rateShare: new entryShare.EntryShare('entry', () => 1, rateLimitShare.RATE_WINDOW),
       coldShare: new entryShare.EntryShare('entry', () => 1, warmUpBounds.COLD_WINDOW),
-      toleratedBy: () => undefined,
+      warmUpLimitOf: () => undefined,
     });
     this.context = {
       timers,
@@ -141,13 +144,13 @@
         timers,
         quarantine: guard,
         signals,
-        rules,
+        policy: rules,
         log,
       }),
       instances: view,
       rules,
-      choice: new localChoice.LocalChoice({ random, dataCentre: 'a', rules }),
-      allowance: new retryAllowance.RetryAllowance(
+      balancer: new localBalancer.LocalBalancer({ random, dataCentre: 'a', rules }),
+      retryBudget: new serviceRetryBudget.ServiceRetryBudget(
         { ratio: 0.2, slack: retrySlack, window: 10_000 },
         () => 1,
         random,
@@ -170,7 +173,7 @@
     return {
       send: (call, listener) => {
         const sent: SentCall = { call, listener, cancelled: false };
-        this.sent.push(sent);
+        this.sentCalls.push(sent);
         return () => {
           sent.cancelled = true;
         };
@@ -179,9 +182,9 @@
         done('accepted');
       },
       copyMemory: (source, target, _request, stop, done) => {
-        this.copies.push({ source: source.identity, target: target.identity, stop, done });
+        this.copyRequests.push({ source: source.identity, target: target.identity, stop, done });
       },
-      dropCopy: (copy) => {
+      releaseCopy: (copy) => {
         this.releasedCopies.push(copy.handle);
       },
     };
@@ -191,9 +194,9 @@
     return {
       request: (_address, method, parameters, _timeout, done) => {
         if (method === methods.methods.place) {
-          this.asked.push(parameters as placementTypes.PlacementRequest);
+          this.placementRequests.push(parameters as placementTypes.PlacementRequest);
         }
-        const instance = method === methods.methods.place ? this.places.shift() : undefined;
+        const instance = method === methods.methods.place ? this.placements.shift() : undefined;
         if (instance !== undefined) {
           const answer: placementTypes.PlacementAnswer = { state: 'placed', instance };
           done(results.Ok(answer));
@@ -218,11 +221,11 @@
 
   /** Publishes the termination notice of an instance. */
   sendTerminationNotice(identity: string): void {
-    const { revision } = this.table.newsSince('e', 0, this.time.now());
-    this.table.leave(identity, this.time.now());
+    const { revision } = this.table.updatesSince('e', 0, this.time.now());
+    this.table.markDraining(identity, this.time.now());
     this.context.instances.merge(
       'control',
-      this.table.newsSince('e', revision, this.time.now()),
+      this.table.updatesSince('e', revision, this.time.now()),
       this.time.now(),
     );
   }
@@ -233,11 +236,11 @@
   }
 
   /** Creates a routed request whose caller records what it receives. */
-  routed(
+  createRoutedRequest(
     kind: trafficTypes.CallKind,
     changes: Partial<trafficTypes.Route> = {},
   ): exchangeContext.RoutedRequest {
-    const { got } = this;
+    const { callerEvents: got } = this;
     return {
       request: {
         identity: 'r',
@@ -254,7 +257,7 @@
           got.push(`refused ${refusal.reason}`);
           this.refusals.push(refusal);
         },
-        whole: (head, body) => {
+        respond: (head, body) => {
           got.push(`whole ${head.status} ${Buffer.from(body).toString()}`);
         },
         begin: () => {
@@ -269,7 +272,7 @@
         abort: () => {
           got.push('abort');
         },
-        onGone: (callback) => {
+        onDisconnect: (callback) => {
           this.notifyCallerGone = callback;
         },
       },
--- a/packages/kumquatfront/src/relay/responseClassification.ts
+++ b/packages/kumquatfront/src/relay/responseClassification.ts
@@ -29,11 +29,11 @@
  * if (answerRules.judge(head, false) === 'notRun') tryAnother();
  * ```
  */
-export function classify(head: types.UpstreamHead, repeatable: boolean): ResponseClass {
+export function classify(head: types.ResponseHead, repeatable: boolean): ResponseClass {
   if (head.notRun || head.status === MISDIRECTED) {
     return 'notRun';
   }
-  if (!head.belongs || head.status < 200) {
+  if (!head.matchesRequest || head.status < 200) {
     return 'garbled';
   }
   if (RETRYABLE_STATUSES.has(head.status) && !repeatable) {
--- a/packages/kumquatfront/src/relay/retryBudget.spec.ts
+++ b/packages/kumquatfront/src/relay/serviceRetryBudget.spec.ts
@@ -5,10 +5,10 @@
 import * as test from 'node:test';
 
 import * as seededRandom from '../adapters/seededRandom.js';
-import * as retryAllowance from './retryAllowance.js';
+import * as serviceRetryBudget from './serviceRetryBudget.js';
 
 const ENTRIES = 191;
-const SETTINGS: retryAllowance.AllowanceSettings = { ratio: 0.2, slack: 422, window: 10_000 };
+const SETTINGS: serviceRetryBudget.RetryBudgetSettings = { ratio: 0.2, slack: 422, window: 10_000 };
 
 /** Calls per second to one service, and the share of them that may be retried. */
 const CALLS_PER_SECOND = 57;
@@ -32,7 +32,7 @@
   const random = seededRandom.create(11);
   const budgets = Array.from(
     { length: entries },
-    () => new retryAllowance.RetryAllowance(SETTINGS, () => slackShare, random),
+    () => new serviceRetryBudget.ServiceRetryBudget(SETTINGS, () => slackShare, random),
   );
   const callTimes: number[] = [];
   const retryTimes: number[] = [];
--- a/packages/kumquatfront/src/relay/retryAllowance.ts
+++ b/packages/kumquatfront/src/relay/serviceRetryBudget.ts
@@ -7,7 +7,7 @@
 import type * as ports from '../kernel/ports.js';
 
 /** Limits of retries, summed over all entries. */
-export interface AllowanceSettings {
+export interface RetryBudgetSettings {
   /** Retries permitted per request. */
   readonly ratio: number;
   /** Retries permitted in each window in addition to `ratio`. */
@@ -27,8 +27,8 @@
 }
 
 /** Retry budget of one entry; see the module comment. */
-export class RetryAllowance {
-  private readonly settings: AllowanceSettings;
+export class ServiceRetryBudget {
+  private readonly settings: RetryBudgetSettings;
   private readonly slackShare: () => number;
   private readonly random: ports.Random;
   private readonly counts = new Map<string, RetryCounts>();
@@ -38,7 +38,7 @@
    * @param slackShare - this entry's share of `settings.slack`, from 0 to 1
    * @param random - source of the random rounding
    */
-  constructor(settings: AllowanceSettings, slackShare: () => number, random: ports.Random) {
+  constructor(settings: RetryBudgetSettings, slackShare: () => number, random: ports.Random) {
     this.settings = settings;
     this.random = random;
     this.slackShare = slackShare;
--- a/packages/kumquatfront/src/relay/startupQueue.spec.ts
+++ b/packages/kumquatfront/src/relay/startupQueue.spec.ts
@@ -6,33 +6,33 @@
 
 import * as seededRandom from '../adapters/seededRandom.js';
 import * as routeTable from '../traffic/routeTable.js';
-import * as relayBench from './relayBench.js';
+import * as relayTestHarness from './relayTestHarness.js';
 import * as trafficRelay from './trafficRelay.js';
 
 /** An entry that starts without a configuration. */
 class StartingEntry {
-  readonly harness = new relayBench.RelayBench(['i1']);
+  readonly harness = new relayTestHarness.RelayTestHarness(['i1']);
   private routes: routeTable.RouteTable | undefined;
   private readonly relay = new trafficRelay.TrafficRelay({
     context: this.harness.context,
     regions: new Map(),
     random: seededRandom.create(1),
     routes: () => this.routes,
-    draining: () => false,
+    isDraining: () => false,
   });
 
   sendRequest(callerTimeout: number): void {
-    const { request, caller } = this.harness.routed('idempotent');
-    this.relay.handle({ ...request, patience: callerTimeout }, caller);
+    const { request, caller } = this.harness.createRoutedRequest('idempotent');
+    this.relay.handle({ ...request, callerTimeout }, caller);
   }
 
   configure(): void {
-    const { route, service } = this.harness.routed('idempotent', {
+    const { route, service } = this.harness.createRoutedRequest('idempotent', {
       targets: [{ service: 'llm', weight: 1 }],
     });
     const limits = { headerBytes: 1, bodyBytes: 1, headerTimeout: 1, idleTimeout: 1 };
     this.routes = new routeTable.RouteTable({ version: 1, routes: [route], services: [service], limits });
-    this.relay.configured();
+    this.relay.onConfigured();
   }
 }
 
@@ -41,9 +41,9 @@
   const starting = new StartingEntry();
   starting.sendRequest(1_500);
   starting.harness.time.advance(500);
-  assert.deepEqual(starting.harness.got, []);
+  assert.deepEqual(starting.harness.callerEvents, []);
   starting.configure();
-  assert.equal(starting.harness.sent.length, 1);
+  assert.equal(starting.harness.sentCalls.length, 1);
 });
 
 // Control stays unreachable; the caller must be refused early enough to try another entry.
@@ -51,9 +51,9 @@
   const starting = new StartingEntry();
   starting.sendRequest(1_500);
   starting.harness.time.advance(700);
-  assert.deepEqual(starting.harness.got, ['refused noConfiguration']);
+  assert.deepEqual(starting.harness.callerEvents, ['refused noConfiguration']);
   starting.configure();
-  assert.equal(starting.harness.sent.length, 0);
+  assert.equal(starting.harness.sentCalls.length, 0);
 });
 
 void test.test('the request of a disconnected caller is not run', () => {
@@ -61,7 +61,7 @@
   starting.sendRequest(39_000);
   starting.harness.disconnectCaller();
   starting.configure();
-  assert.equal(starting.harness.sent.length, 0);
+  assert.equal(starting.harness.sentCalls.length, 0);
 });
 
 // Failure: a burst of requests to a starting entry exhausts its memory.
@@ -70,5 +70,5 @@
   for (let count = 0; count < 250; count += 1) {
     starting.sendRequest(39_000);
   }
-  assert.equal(starting.harness.got.length, 50);
+  assert.equal(starting.harness.callerEvents.length, 50);
 });
--- a/packages/kumquatfront/src/relay/startupQueue.ts
+++ b/packages/kumquatfront/src/relay/startupQueue.ts
@@ -41,7 +41,7 @@
     if (this.queued.size >= MAXIMUM_QUEUED) {
       return false;
     }
-    const totalTime = request.patience ?? MAXIMUM_WAIT;
+    const totalTime = request.callerTimeout ?? MAXIMUM_WAIT;
     const deadline = request.arrivedAt + Math.min(MAXIMUM_WAIT, totalTime * MAXIMUM_WAIT_SHARE);
     const cancel = this.timers.after(Math.max(0, deadline - this.timers.now()), () => {
       this.queued.delete(queuedRequest);
@@ -49,7 +49,7 @@
     });
     const queuedRequest: QueuedRequest = { request, caller, cancel };
     this.queued.add(queuedRequest);
-    caller.onGone(() => {
+    caller.onDisconnect(() => {
       cancel();
       this.queued.delete(queuedRequest);
     });
--- a/packages/kumquatfront/src/relay/streamDelivery.ts
+++ b/packages/kumquatfront/src/relay/streamDelivery.ts
@@ -17,7 +17,7 @@
   firstEventAt: ports.Milliseconds | undefined;
   /** Longest time between two delivered events. */
   longestPause: ports.Milliseconds = 0;
-  private head: types.UpstreamHead | undefined;
+  private head: types.ResponseHead | undefined;
   private lastEventAt: ports.Milliseconds = 0;
   private readonly caller: types.CallerPort;
 
@@ -27,7 +27,7 @@
   }
 
   /** Sets the response head; heads of later upstreams are ignored. */
-  setHead(head: types.UpstreamHead): void {
+  setHead(head: types.ResponseHead): void {
     this.head ??= head;
   }
 
--- a/packages/kumquatfront/src/relay/streamExchange.ts
+++ b/packages/kumquatfront/src/relay/streamExchange.ts
@@ -9,7 +9,7 @@
 import * as quarantine from '../quarantine/quarantine.js';
 import type * as eventSplitter from './eventSplitter.js';
 import * as exchangeContext from './exchangeContext.js';
-import * as generationFacts from './generationFacts.js';
+import * as generationAttributes from './generationAttributes.js';
 import * as upstreamSelector from './upstreamSelector.js';
 import type * as placementClient from './placementClient.js';
 import * as idleTimeout from './idleTimeout.js';
@@ -23,7 +23,7 @@
 export class StreamExchange implements placementClient.OpenGeneration {
   private readonly context: exchangeContext.ExchangeContext;
   private readonly routed: exchangeContext.RoutedRequest;
-  private readonly attributes: placementTypes.GenerationFacts | undefined;
+  private readonly attributes: placementTypes.GenerationAttributes | undefined;
   private readonly delivery: streamDelivery.StreamDelivery;
   private readonly selector: upstreamSelector.UpstreamSelector;
   private readonly moveController: streamMove.StreamMove;
@@ -46,7 +46,7 @@
   constructor(context: exchangeContext.ExchangeContext, routed: exchangeContext.RoutedRequest) {
     this.context = context;
     this.routed = routed;
-    this.attributes = generationFacts.of(routed);
+    this.attributes = generationAttributes.forRequest(routed);
     this.delivery = new streamDelivery.StreamDelivery(routed.caller, routed.request.lastEvent);
     this.selector = new upstreamSelector.UpstreamSelector(context, routed, this.attributes, {
       selected: (instance) => {
@@ -69,10 +69,10 @@
 
   /** Registers the generation for reports and selects its first upstream. */
   start(): void {
-    const { timers, allowance: retryBudget, placement } = this.context;
+    const { timers, retryBudget, placement } = this.context;
     const { caller, deadline, service, request } = this.routed;
     retryBudget.recordRequest(service.name, timers.now());
-    caller.onGone(() => {
+    caller.onDisconnect(() => {
       this.finish({ outcome: 'callerGone' });
     });
     this.cancelDeadline = timers.after(deadline - timers.now(), () => {
@@ -99,10 +99,10 @@
 
   private finishQuarantined(): void {
     if (this.delivery.started) {
-      this.abort(quarantine.QUARANTINED);
+      this.abort(quarantine.QUARANTINED_MESSAGE);
     } else {
       const reason = this.possibleRuns === 0 ? 'quarantined' : 'outcomeUnknown';
-      this.refuse(reason, quarantine.QUARANTINED);
+      this.refuse(reason, quarantine.QUARANTINED_MESSAGE);
     }
   }
 
@@ -117,7 +117,7 @@
 
   /** True if the current upstream has sent a termination notice. */
   isUpstreamDraining(): boolean {
-    return this.active !== undefined && this.context.instances.hasGivenNotice(this.active.instance.identity);
+    return this.active !== undefined && this.context.instances.isTerminating(this.active.instance.identity);
   }
 
   private get resumable(): boolean {
@@ -159,7 +159,7 @@
   }
 
   private send(instance: instanceView.Instance, copy: types.MemoryCopy | undefined): void {
-    const { upstreams, choice: balancer, timers, placement, log } = this.context;
+    const { upstreams, balancer, timers, placement, log } = this.context;
     const { request, account, upstreamPriority, deadline, dataCentres } = this.routed;
     const now = timers.now();
     const segment = new streamSegment.StreamSegment(instance, copy);
@@ -192,7 +192,7 @@
   }
 
   private createSegmentListener(segment: streamSegment.StreamSegment): streamSegment.SegmentListener {
-    const { choice: balancer, timers } = this.context;
+    const { balancer, timers } = this.context;
     return {
       started: (head) => {
         this.delivery.setHead(head);
@@ -272,7 +272,7 @@
 
   /** Takes one retry from the shared budget if the stream may be sent again; false otherwise. */
   private takeResumption(): boolean {
-    const { allowance: retryBudget, timers } = this.context;
+    const { retryBudget, timers } = this.context;
     const isQuarantined = exchangeContext.quarantineVerdictOf(this.context, this.routed) === 'quarantined';
     return this.hasAttemptsLeft && !isQuarantined && retryBudget.take(this.routed.service.name, timers.now());
   }
@@ -281,19 +281,19 @@
     if (this.active === segment) {
       segment.close(reason);
       this.active = undefined;
-      this.context.choice.recordCompletion(segment.instance.identity);
+      this.context.balancer.recordCompletion(segment.instance.identity);
     }
   }
 
   private onEnd(segment: streamSegment.StreamSegment, remainder: Uint8Array): void {
-    this.context.choice.recordSuccess(segment.instance.identity);
+    this.context.balancer.recordSuccess(segment.instance.identity);
     this.delivery.end(remainder);
     this.closeSegment(segment);
     this.finish({ outcome: 'answered', upstream: segment.instance.identity });
   }
 
   private onErrorResponse(segment: streamSegment.StreamSegment, response: streamSegment.ErrorResponse): void {
-    const { choice: balancer, timers } = this.context;
+    const { balancer, timers } = this.context;
     const { head, body } = response;
     const { identity } = segment.instance;
     this.closeSegment(segment);
@@ -303,14 +303,14 @@
     } else if (this.delivery.started) {
       this.abort(`the next upstream responded with status ${head.status}`);
     } else {
-      this.routed.caller.whole(head, body);
+      this.routed.caller.respond(head, body);
       this.finish({ outcome: 'answered', status: head.status, upstream: identity });
     }
   }
 
   /** Handles an upstream's statement that it did not run the request. */
   private onNotRun(segment: streamSegment.StreamSegment): void {
-    const { allowance: retryBudget, timers, log } = this.context;
+    const { retryBudget, timers, log } = this.context;
     const { service, request } = this.routed;
     this.selector.exclude(segment.instance.identity);
     log.info('attemptNotRun', { request: request.identity, upstream: segment.instance.identity });
@@ -335,7 +335,7 @@
     failure: types.ExchangeFailure,
     reason: string,
   ): void {
-    const { choice: balancer, timers, log } = this.context;
+    const { balancer, timers, log } = this.context;
     this.closeSegment(segment);
     if (failure === 'quarantined') {
       this.possibleRuns -= segment.copy === undefined ? 1 : 0;
@@ -421,7 +421,7 @@
   /** True if the target is temporarily excluded; checked before the source stops, since an unsent copy loses the run. */
   private isExcluded(target: instanceView.Instance): boolean {
     const { rules, timers } = this.context;
-    return rules.holdOf(target, timers.now()) !== undefined;
+    return rules.exclusionOf(target, timers.now()) !== undefined;
   }
 
   /** Handles the restart of the engine, which has lost this run and cannot copy it. */
--- a/packages/kumquatfront/src/relay/streamLogSummary.ts
+++ b/packages/kumquatfront/src/relay/streamLogSummary.ts
@@ -31,11 +31,11 @@
  */
 export function fieldsFor(
   routed: exchangeContext.RoutedRequest,
-  attributes: placementTypes.GenerationFacts | undefined,
+  attributes: placementTypes.GenerationAttributes | undefined,
   delivery: streamDelivery.StreamDelivery,
   counts: StreamCounts,
 ): ports.LogFields {
-  const { patience, arrivedAt } = routed.request;
+  const { callerTimeout: patience, arrivedAt } = routed.request;
   const { produced, sends, moves } = counts;
   const { lastEvent, firstEventAt } = delivery;
   return {
--- a/packages/kumquatfront/src/relay/streamSegment.ts
+++ b/packages/kumquatfront/src/relay/streamSegment.ts
@@ -9,15 +9,15 @@
 
 /** An error response, buffered instead of streamed. */
 export interface ErrorResponse {
-  readonly head: types.UpstreamHead;
+  readonly head: types.ResponseHead;
   readonly body: Uint8Array;
 }
 
 /** Callbacks of a segment. */
 export interface SegmentListener {
   /** The head of the event stream was received. */
-  readonly started: (head: types.UpstreamHead) => void;
-  readonly loadReported: (load: NonNullable<types.UpstreamHead['load']>) => void;
+  readonly started: (head: types.ResponseHead) => void;
+  readonly loadReported: (load: NonNullable<types.ResponseHead['load']>) => void;
   readonly event: (event: eventSplitter.CompleteEvent) => void;
   /** The stream is complete; `rest` contains the bytes after its last event. */
   readonly completed: (rest: Uint8Array) => void;
@@ -35,7 +35,7 @@
   /** Number of received events. */
   eventCount = 0;
   private readonly splitter = new eventSplitter.EventSplitter();
-  private errorResponse: { readonly head: types.UpstreamHead; readonly chunks: Uint8Array[] } | undefined;
+  private errorResponse: { readonly head: types.ResponseHead; readonly chunks: Uint8Array[] } | undefined;
   private open = true;
   private cancel: types.CancelExchange = () => undefined;
 
@@ -97,7 +97,7 @@
     }
   }
 
-  private onHead(head: types.UpstreamHead, repeatable: boolean, listener: SegmentListener): void {
+  private onHead(head: types.ResponseHead, repeatable: boolean, listener: SegmentListener): void {
     if (head.load !== undefined) {
       listener.loadReported(head.load);
     }
--- a/packages/kumquatfront/src/relay/trafficRelay.ts
+++ b/packages/kumquatfront/src/relay/trafficRelay.ts
@@ -9,7 +9,7 @@
 import * as contentDigest from '../quarantine/contentDigest.js';
 import * as quarantine from '../quarantine/quarantine.js';
 import type * as exchangeContext from './exchangeContext.js';
-import * as plainExchange from './plainExchange.js';
+import * as bufferedExchange from './bufferedExchange.js';
 import * as startupQueue from './startupQueue.js';
 import * as streamExchange from './streamExchange.js';
 import type * as types from './types.js';
@@ -31,7 +31,7 @@
   readonly regions: residency.Regions;
   readonly routes: () => routeTable.RouteTable | undefined;
   /** True while the entry drains before it stops. */
-  readonly draining: () => boolean;
+  readonly isDraining: () => boolean;
 }
 
 interface AdmittedRequest {
@@ -50,7 +50,7 @@
   }
 
   /** Serves the queued requests once a configuration is available. */
-  configured(): void {
+  onConfigured(): void {
     this.startupQueue.releaseAll((request, caller) => {
       this.handle(request, caller);
     });
@@ -75,17 +75,17 @@
       return;
     }
     // A generation may outlast the draining entry; it has not started and can run through another entry.
-    if (this.options.draining() && service.engine !== undefined) {
+    if (this.options.isDraining() && service.engine !== undefined) {
       const message = 'this entry is draining before it stops';
       this.refuse(request, caller, { reason: 'draining', message, retryAfter: DRAINING_RETRY_DELAY });
       return;
     }
-    const content = contentDigest.of(request, account?.name ?? '');
+    const content = contentDigest.forRequest(request, account?.name ?? '');
     if (this.options.context.quarantine.verdictOf(content) === 'quarantined') {
       this.refuseQuarantined(request, caller, content);
       return;
     }
-    const limit = Math.min(request.patience ?? Number.POSITIVE_INFINITY, route.timeout);
+    const limit = Math.min(request.callerTimeout ?? Number.POSITIVE_INFINITY, route.timeout);
     this.start({
       request,
       caller,
@@ -103,8 +103,8 @@
   /** Refuses without a retry delay, because a retry with the same content would be refused again. */
   private refuseQuarantined(request: types.TrafficRequest, caller: types.CallerPort, content: string): void {
     const { log, quarantine: quarantineState } = this.options.context;
-    log.info('requestQuarantined', { request: request.identity, ...quarantineState.describe(content) });
-    this.refuse(request, caller, { reason: 'quarantined', message: quarantine.QUARANTINED });
+    log.info('requestQuarantined', { request: request.identity, ...quarantineState.logFieldsOf(content) });
+    this.refuse(request, caller, { reason: 'quarantined', message: quarantine.QUARANTINED_MESSAGE });
   }
 
   private queueOrRefuse(request: types.TrafficRequest, caller: types.CallerPort): void {
@@ -113,7 +113,7 @@
       const retryAfter = NO_CONFIGURATION_RETRY_DELAY;
       this.refuse(request, caller, { reason: 'noConfiguration', message, retryAfter });
     };
-    if (this.options.draining() || !this.startupQueue.enqueue(request, caller, refuse)) {
+    if (this.options.isDraining() || !this.startupQueue.enqueue(request, caller, refuse)) {
       refuse();
       return;
     }
@@ -125,7 +125,7 @@
     const exchange =
       routed.route.kind === 'stream'
         ? new streamExchange.StreamExchange(context, routed)
-        : new plainExchange.PlainExchange(context, routed);
+        : new bufferedExchange.BufferedExchange(context, routed);
     exchange.start();
   }
 
@@ -141,7 +141,7 @@
       this.refuse(request, caller, { reason: 'noRoute', message });
       return undefined;
     }
-    if (!routes.wantsKeys || route.anonymous) {
+    if (!routes.requiresKeys || route.anonymous) {
       return { route };
     }
     const account = request.key === undefined ? undefined : routes.accountOf(request.key);
--- a/packages/kumquatfront/src/relay/types.ts
+++ b/packages/kumquatfront/src/relay/types.ts
@@ -33,7 +33,7 @@
   /** API key of the client account; undefined if none was sent. */
   readonly key?: string;
   /** Timeout of the caller, counted from `arrivedAt`; undefined if it sent none. */
-  readonly patience?: ports.Milliseconds;
+  readonly callerTimeout?: ports.Milliseconds;
   readonly arrivedAt: ports.Milliseconds;
   /** Identifier of the last event that the caller received; undefined for a new stream. */
   readonly lastEvent?: string;
@@ -63,12 +63,12 @@
 }
 
 /** Status, headers and signals of an upstream's response. */
-export interface UpstreamHead {
+export interface ResponseHead {
   readonly status: number;
   /** True if the upstream states that it did not run the request. */
   readonly notRun: boolean;
   /** True if the response carries the identity of this request or no identity. */
-  readonly belongs: boolean;
+  readonly matchesRequest: boolean;
   /** True if the response carries a valid signature of an upstream. */
   readonly signed: boolean;
   /** Headers that are forwarded to the caller. */
@@ -92,7 +92,7 @@
 
 /** Callbacks of one exchange. Unless it is cancelled, either `end` or `failed` is called once, as the last. */
 export interface ExchangeListener {
-  readonly head: (head: UpstreamHead) => void;
+  readonly head: (head: ResponseHead) => void;
   readonly data: (bytes: Uint8Array) => void;
   /** The response is complete. */
   readonly end: () => void;
@@ -103,7 +103,7 @@
 export type CancelExchange = (reason?: 'silent') => void;
 
 /** Result of a connection attempt; `unknown` if there is no reply, as in a network partition. */
-export type ConnectionSign = 'accepted' | 'refused' | 'unknown';
+export type ConnectionCheckResult = 'accepted' | 'refused' | 'unknown';
 
 /** Result of copying a generation's memory. */
 export type CopyResult =
@@ -118,7 +118,7 @@
 export interface UpstreamPort {
   readonly send: (call: UpstreamCall, listener: ExchangeListener) => CancelExchange;
   /** Tests whether an address (`ip:port`) accepts connections, without sending data. */
-  readonly check: (address: string, done: (sign: ConnectionSign) => void) => void;
+  readonly check: (address: string, done: (sign: ConnectionCheckResult) => void) => void;
   /** Copies a generation's memory; with `stop`, the source stops its run first. */
   readonly copyMemory: (
     source: instanceView.Instance,
@@ -128,7 +128,7 @@
     done: (result: CopyResult) => void,
   ) => void;
   /** Releases a copy that is no longer needed. */
-  readonly dropCopy: (copy: MemoryCopy) => void;
+  readonly releaseCopy: (copy: MemoryCopy) => void;
 }
 
 /** Why a request was refused or ended without a response. */
@@ -156,14 +156,14 @@
 export interface CallerPort {
   readonly refuse: (refusal: Refusal) => void;
   /** Sends a complete response. */
-  readonly whole: (head: UpstreamHead, body: Uint8Array) => void;
+  readonly respond: (head: ResponseHead, body: Uint8Array) => void;
   /** Starts a streamed response. */
-  readonly begin: (head: UpstreamHead) => void;
+  readonly begin: (head: ResponseHead) => void;
   readonly write: (bytes: Uint8Array) => void;
   /** Completes a streamed response. */
   readonly end: () => void;
   /** Aborts a streamed response so that the caller can detect that it is incomplete. */
   readonly abort: () => void;
   /** Registers a callback for a caller that disconnects before its response is complete. */
-  readonly onGone: (callback: () => void) => void;
+  readonly onDisconnect: (callback: () => void) => void;
 }
--- a/packages/kumquatfront/src/relay/upstreamSelector.ts
+++ b/packages/kumquatfront/src/relay/upstreamSelector.ts
@@ -5,9 +5,9 @@
 import type * as instanceView from '../instances/instanceView.js';
 import type * as ports from '../kernel/ports.js';
 import type * as placementTypes from '../placement/types.js';
-import * as waitingRules from '../placement/waitingRules.js';
+import * as waitLimits from '../placement/waitLimits.js';
 import * as exchangeContext from './exchangeContext.js';
-import * as generationFacts from './generationFacts.js';
+import * as generationAttributes from './generationAttributes.js';
 import type * as placementClient from './placementClient.js';
 import type * as types from './types.js';
 
@@ -27,7 +27,7 @@
   private readonly excludedUpstreams = new Set<string>();
   private readonly context: exchangeContext.ExchangeContext;
   private readonly routed: exchangeContext.RoutedRequest;
-  private readonly attributes: placementTypes.GenerationFacts | undefined;
+  private readonly attributes: placementTypes.GenerationAttributes | undefined;
   private readonly listener: UpstreamSelectionListener;
   private cancelPlacement: ports.Cancel = () => undefined;
   private cancelled = false;
@@ -35,7 +35,7 @@
   constructor(
     context: exchangeContext.ExchangeContext,
     routed: exchangeContext.RoutedRequest,
-    attributes: placementTypes.GenerationFacts | undefined,
+    attributes: placementTypes.GenerationAttributes | undefined,
     listener: UpstreamSelectionListener,
   ) {
     this.context = context;
@@ -51,7 +51,7 @@
 
   /** Starts one selection and reports its result to the listener. */
   select(): void {
-    const { placement, timers, choice: balancer, rules } = this.context;
+    const { placement, timers, balancer, rules } = this.context;
     const { deadline, request, route } = this.routed;
     const candidates = exchangeContext.candidatesOf(this.context, this.routed);
     if (this.attributes === undefined || candidates.length === 0) {
@@ -59,15 +59,16 @@
       return;
     }
     const now = timers.now();
-    const temporarilyExcluded = candidates.filter((instance) => rules.holdOf(instance, now) !== undefined);
+    const temporarilyExcluded = candidates.filter(
+      (instance) => rules.exclusionOf(instance, now) !== undefined,
+    );
     if (temporarilyExcluded.length === candidates.length) {
       this.reportNoUpstream();
       return;
     }
     const { objective } = route;
     const totalTime = deadline - request.arrivedAt;
-    const waitUntil =
-      request.arrivedAt + waitingRules.longestWait(objective, totalTime, this.attributes.rank);
+    const waitUntil = request.arrivedAt + waitLimits.maximumWait(objective, totalTime, this.attributes.rank);
     const ejected = balancer.ejectedOf(candidates, now);
     const placementRequest: placementClient.PlacementParameters = {
       facts: this.attributes,
@@ -76,7 +77,7 @@
         ...ejected,
         ...temporarilyExcluded.map((instance) => instance.identity),
       ],
-      likeness: generationFacts.retryFingerprintOf(this.routed),
+      likeness: generationAttributes.retryFingerprintOf(this.routed),
       objective,
       objectiveLeft: request.arrivedAt + objective - now,
       patience: Math.max(0, waitUntil - now),
@@ -105,7 +106,7 @@
   }
 
   private selectLocally(): void {
-    const { choice: balancer, timers } = this.context;
+    const { balancer, timers } = this.context;
     const candidates = exchangeContext.candidatesOf(this.context, this.routed);
     const instance = balancer.choose(candidates, this.excludedUpstreams, timers.now());
     if (instance === undefined) {
--- a/packages/kumquatfront/src/routing/retryBudget.ts
+++ b/packages/kumquatfront/src/routing/accountRetryBudget.ts
@@ -16,7 +16,7 @@
  * budget.mayRetry('school-1'); // spends a token
  * ```
  */
-export class RetryBudget {
+export class AccountRetryBudget {
   private readonly tokensPerRequest: number;
   private readonly tokensByAccount = new Map<string, number>();
 
@@ -27,7 +27,7 @@
     this.tokensPerRequest = percent / 100;
   }
 
-  requested(account: string): void {
+  recordRequest(account: string): void {
     const tokens = this.tokensByAccount.get(account) ?? MAXIMUM_TOKENS;
     this.tokensByAccount.delete(account);
     this.tokensByAccount.set(account, Math.min(MAXIMUM_TOKENS, tokens + this.tokensPerRequest));
--- a/packages/kumquatfront/src/routing/choice.ts
+++ b/packages/kumquatfront/src/routing/balancingPolicy.ts
@@ -4,21 +4,21 @@
  */
 import type * as upstreamTable from '../directory/upstreamTable.js';
 import type * as ports from '../kernel/ports.js';
-import type * as dispatchLedger from './dispatchLedger.js';
-import type * as health from './health.js';
+import type * as dispatchTracker from './dispatchTracker.js';
+import type * as outlierDetector from './outlierDetector.js';
 import type * as types from './types.js';
 
 /** State that a balancing policy uses. */
 export interface BalancingContext {
   readonly now: number;
   readonly table: upstreamTable.UpstreamTable;
-  readonly dispatches: dispatchLedger.DispatchLedger;
-  readonly outlierDetector: health.Health;
+  readonly dispatches: dispatchTracker.DispatchTracker;
+  readonly outlierDetector: outlierDetector.OutlierDetector;
   readonly random: ports.Random;
 }
 
 /** Selects one of the candidates; returns undefined if none is usable. */
-export type Choose = (
+export type BalancingPolicy = (
   request: types.PlacementRequest,
   candidates: readonly upstreamTable.UpstreamRecord[],
   context: BalancingContext,
@@ -65,7 +65,7 @@
  */
 export function occupancy(upstream: upstreamTable.UpstreamRecord, context: BalancingContext): number {
   const { name, slots, memoryTokens } = upstream.announcement;
-  const own = context.dispatches.countSince(name, upstream.loadAt);
+  const own = context.dispatches.countSince(name, upstream.loadReportedAt);
   const reported = upstream.load;
   const running = (reported?.running ?? 0) + (reported?.waiting ?? 0) + own;
   const slotShare = slots > 0 ? running / slots : running / 100;
@@ -121,7 +121,7 @@
  * const upstream = balancingPolicy.powerOfTwoChoices(request, directory.table.candidates('app=ledger-llm'), context);
  * ```
  */
-export const chooseOfTwo: Choose = (request, candidates, context) => {
+export const powerOfTwoChoices: BalancingPolicy = (request, candidates, context) => {
   let best: upstreamTable.UpstreamRecord | undefined;
   let bestScore = Number.POSITIVE_INFINITY;
   for (const candidate of sampleUsable(request, candidates, context)) {
--- a/packages/kumquatfront/src/routing/dispatchLedger.ts
+++ b/packages/kumquatfront/src/routing/dispatchTracker.ts
@@ -25,7 +25,7 @@
 }
 
 /** Dispatch records by request and by upstream; see the module comment. */
-export class DispatchLedger {
+export class DispatchTracker {
   private readonly byRequest = new Map<string, types.DispatchRecord>();
   private readonly byUpstream = new Map<string, Map<string, types.DispatchRecord>>();
   private readonly versionByUpstream = new Map<string, number>();
@@ -39,7 +39,7 @@
     this.versionByUpstream.set(upstream, this.versionOf(upstream) + 1);
   }
 
-  dispatched(request: types.PlacementRequest, upstream: string, now: number): void {
+  recordDispatch(request: types.PlacementRequest, upstream: string, now: number): void {
     this.remove(request.requestId);
     const { requestId, urgency, promptTokens, estimateKeys } = request;
     const dispatch = {
--- a/packages/kumquatfront/src/routing/health.ts
+++ b/packages/kumquatfront/src/routing/outlierDetector.ts
@@ -4,18 +4,18 @@
  */
 
 /** Settings of outlier detection; times in milliseconds. */
-export interface HealthSettings {
-  readonly firstEjection: number;
-  readonly longestEjection: number;
+export interface OutlierDetectionSettings {
+  readonly baseEjectionTime: number;
+  readonly maximumEjectionTime: number;
   /** Consecutive failures after which an upstream is ejected; a stall ejects it immediately. */
-  readonly failuresBeforeEjection: number;
+  readonly consecutiveFailures: number;
 }
 
 /** Default settings, for engines that restart within seconds. */
-export const defaultSettings: HealthSettings = {
-  firstEjection: 2_000,
-  longestEjection: 60_000,
-  failuresBeforeEjection: 2,
+export const defaultSettings: OutlierDetectionSettings = {
+  baseEjectionTime: 2_000,
+  maximumEjectionTime: 60_000,
+  consecutiveFailures: 2,
 };
 
 interface EjectionState {
@@ -26,20 +26,20 @@
 }
 
 /** The kind of failure observed at an upstream. */
-export type HealthEvent = 'failure' | 'stall';
+export type FailureKind = 'failure' | 'stall';
 
 const PROBE_TIMEOUT = 2_000;
 
 /** Ejects and probes unhealthy upstreams; see the module comment. */
-export class Health {
-  private readonly settings: HealthSettings;
+export class OutlierDetector {
+  private readonly settings: OutlierDetectionSettings;
   private readonly records = new Map<string, EjectionState>();
 
-  constructor(settings: HealthSettings = defaultSettings) {
+  constructor(settings: OutlierDetectionSettings = defaultSettings) {
     this.settings = settings;
   }
 
-  succeeded(name: string): void {
+  recordSuccess(name: string): void {
     this.records.delete(name);
   }
 
@@ -47,19 +47,19 @@
    * Records a failure. A stall ejects immediately: a crashed upstream costs one refused connection, but a frozen
    * one delays every caller by the full stall timeout.
    */
-  failed(name: string, event: HealthEvent, now: number): void {
+  recordFailure(name: string, event: FailureKind, now: number): void {
     const record = this.records.get(name) ?? { failures: 0, ejections: 0, ejectedUntil: 0, probeUntil: 0 };
     record.failures += 1;
-    if (event === 'stall' || record.failures >= this.settings.failuresBeforeEjection) {
-      const length = this.settings.firstEjection * 2 ** record.ejections;
-      record.ejectedUntil = now + Math.min(this.settings.longestEjection, length);
+    if (event === 'stall' || record.failures >= this.settings.consecutiveFailures) {
+      const length = this.settings.baseEjectionTime * 2 ** record.ejections;
+      record.ejectedUntil = now + Math.min(this.settings.maximumEjectionTime, length);
       record.ejections += 1;
       record.failures = 0;
     }
     this.records.set(name, record);
   }
 
-  forget(name: string): void {
+  removeUpstream(name: string): void {
     this.records.delete(name);
   }
 
@@ -69,7 +69,7 @@
   }
 
   /** Records a dispatch; an upstream that returns from ejection receives one request per probe timeout. */
-  dispatched(name: string, now: number): void {
+  recordDispatch(name: string, now: number): void {
     const record = this.records.get(name);
     if (record !== undefined && record.ejections > 0) {
       record.probeUntil = now + PROBE_TIMEOUT;
--- a/packages/kumquatfront/src/routing/routing.spec.ts
+++ b/packages/kumquatfront/src/routing/routing.spec.ts
@@ -4,21 +4,21 @@
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
 
-import * as health from './health.js';
-import * as retryBudget from './retryBudget.js';
+import * as outlierDetector from './outlierDetector.js';
+import * as accountRetryBudget from './accountRetryBudget.js';
 
-const FIRST = health.defaultSettings.firstEjection;
+const FIRST = outlierDetector.defaultSettings.baseEjectionTime;
 
 void test.test(
   'consecutive failures eject an upstream, a single one does not, and a success resets the count',
   () => {
-    const upstreams = new health.Health();
-    upstreams.failed('e1', 'failure', 0);
+    const upstreams = new outlierDetector.OutlierDetector();
+    upstreams.recordFailure('e1', 'failure', 0);
     assert.equal(upstreams.isEjected('e1', 0), false);
-    upstreams.succeeded('e1');
-    upstreams.failed('e1', 'failure', 0);
+    upstreams.recordSuccess('e1');
+    upstreams.recordFailure('e1', 'failure', 0);
     assert.equal(upstreams.isEjected('e1', 0), false);
-    upstreams.failed('e1', 'failure', 0);
+    upstreams.recordFailure('e1', 'failure', 0);
     assert.equal(upstreams.isEjected('e1', FIRST - 1), true);
     assert.equal(upstreams.isEjected('e1', FIRST), false);
   },
@@ -28,32 +28,32 @@
 void test.test(
   'a single stall ejects immediately, and each ejection lasts twice as long as the previous one',
   () => {
-    const upstreams = new health.Health();
-    upstreams.failed('e1', 'stall', 0);
+    const upstreams = new outlierDetector.OutlierDetector();
+    upstreams.recordFailure('e1', 'stall', 0);
     assert.equal(upstreams.isEjected('e1', FIRST - 1), true);
-    upstreams.failed('e1', 'stall', FIRST);
+    upstreams.recordFailure('e1', 'stall', FIRST);
     assert.equal(upstreams.isEjected('e1', FIRST + FIRST * 2 - 1), true);
     assert.equal(upstreams.isEjected('e1', FIRST + FIRST * 2), false);
   },
 );
 
 void test.test('an upstream that returns from ejection is probed with one request at a time', () => {
-  const upstreams = new health.Health();
-  upstreams.failed('e1', 'stall', 0);
+  const upstreams = new outlierDetector.OutlierDetector();
+  upstreams.recordFailure('e1', 'stall', 0);
   assert.equal(upstreams.isEjected('e1', FIRST), false);
-  upstreams.dispatched('e1', FIRST);
+  upstreams.recordDispatch('e1', FIRST);
   assert.equal(upstreams.isEjected('e1', FIRST + 1), true);
-  upstreams.succeeded('e1');
+  upstreams.recordSuccess('e1');
   assert.equal(upstreams.isEjected('e1', FIRST + 1), false);
 });
 
 // Guards against retry amplification when all requests of an account fail, and against one account using up the
 // budget of another.
 void test.test('retries stay within the budget of the account', () => {
-  const budget = new retryBudget.RetryBudget(20);
+  const budget = new accountRetryBudget.AccountRetryBudget(20);
   let retries = 0;
   for (let request = 0; request < 1_000; request += 1) {
-    budget.requested('failing');
+    budget.recordRequest('failing');
     while (budget.mayRetry('failing')) {
       retries += 1;
     }
--- a/packages/kumquatfront/src/routing/types.ts
+++ b/packages/kumquatfront/src/routing/types.ts
@@ -49,11 +49,11 @@
   /** Requests placement; `done` is called once, possibly synchronously. The returned function cancels the wait. */
   place(request: PlacementRequest, done: (placement: Placement) => void): ports.Cancel;
   /** Records the total number of tokens that a generation has produced so far. */
-  progressed(requestId: string, produced: number): void;
+  onProgress(requestId: string, produced: number): void;
   /** Records that a request has left its upstream; `whole` is true if the generation ran to completion. */
-  finished(requestId: string, produced: number, whole: boolean): void;
+  onFinished(requestId: string, produced: number, whole: boolean): void;
   /** Returns the number of requests waiting for placement. */
-  waiting(): number;
+  waitingCount(): number;
 }
 
 /** A request in flight at an upstream. */
--- a/packages/kumquatfront/src/settings/settingsLoader.ts
+++ b/packages/kumquatfront/src/settings/settingsLoader.ts
@@ -51,7 +51,7 @@
   }
   return validate(value)
     ? results.Ok(value)
-    : results.Err(schemaFailures.describe(subject, validate.errors ?? []));
+    : results.Err(schemaFailures.fromErrors(subject, validate.errors ?? []));
 }
 
 function missingSection(subject: string, key: string): results.Result<never, failures.Failure> {
@@ -70,7 +70,7 @@
  * const settings = settingsLoader.parseEntrySettings(fs.readFileSync(file, 'utf8'), file);
  * ```
  */
-export function readEntry(
+export function parseEntrySettings(
   text: string,
   subject: string,
 ): results.Result<EntryDaemonSettings, failures.Failure> {
@@ -112,7 +112,7 @@
  * const settings = settingsLoader.parseControlSettings(fs.readFileSync(file, 'utf8'), file);
  * ```
  */
-export function readControl(
+export function parseControlSettings(
   text: string,
   subject: string,
 ): results.Result<ControlDaemonSettings, failures.Failure> {
--- a/packages/kumquatfront/src/streams/wholeAnswer.ts
+++ b/packages/kumquatfront/src/streams/completionAggregator.ts
@@ -14,7 +14,7 @@
 }
 
 /** Aggregates the chunks of one answer. */
-export class WholeAnswer {
+export class CompletionAggregator {
   private readonly isChat: boolean;
   private readonly fragments: string[] = [];
   private lastChunk: CompletionChunk = {};
@@ -26,7 +26,7 @@
     this.isChat = path.endsWith('/chat/completions');
   }
 
-  add(data: string): void {
+  addChunk(data: string): void {
     const chunk = JSON.parse(data) as CompletionChunk;
     const choice = chunk.choices?.[0];
     this.fragments.push((this.isChat ? choice?.delta?.content : choice?.text) ?? '');
@@ -34,12 +34,12 @@
   }
 
   /** Discards all chunks, because a new generation begins. */
-  restart(): void {
+  reset(): void {
     this.fragments.length = 0;
   }
 
   /** Returns the answer as JSON text; `count` is the number of generated tokens. */
-  finish(count: number): string {
+  toJson(count: number): string {
     const text = this.fragments.join('');
     const finishReason = this.lastChunk.choices?.[0]?.finish_reason ?? 'stop';
     const choice = this.isChat
--- a/packages/kumquatfront/src/streams/generationRelay.spec.ts
+++ b/packages/kumquatfront/src/streams/generationRelay.spec.ts
@@ -27,7 +27,7 @@
     const announcement = { name: 'e1', address: 'http://e1' };
     this.relay = new generationRelay.GenerationRelay({
       requestId: 'r',
-      order: { path: '/v1/completions', body: '{}', priority: 1 },
+      request: { path: '/v1/completions', body: '{}', priority: 1 },
       mayRestart,
       engines: {
         start: (_target, order, listener) => open(`start ${order.generation}`)(listener),
@@ -45,23 +45,23 @@
         generationLimit: 3,
       },
       caller: {
-        accepted: () => undefined,
-        token: (_token, index) => {
+        sendAccepted: () => undefined,
+        sendToken: (_token, index) => {
           this.callerEvents.push(String(index));
           return true;
         },
-        restarted: () => {
+        sendRestart: () => {
           this.callerEvents.push('restart');
         },
-        ended: (count) => {
+        complete: (count) => {
           this.callerEvents.push(`ended ${count}`);
         },
-        refused: (refusal) => {
+        refuse: (refusal) => {
           this.callerEvents.push(refusal.kind);
         },
       },
       host: {
-        place: (_exclude, done) => {
+        requestPlacement: (_exclude, done) => {
           this.grantPlacement = () => {
             done({ type: 'granted', upstream: { announcement } as never });
           };
@@ -72,16 +72,16 @@
         },
         issueToken: () => 'token',
         mayRetry: () => true,
-        progressed: () => undefined,
-        left: (upstream, _produced, reason) => {
+        onProgress: () => undefined,
+        onReleased: (upstream, _produced, reason) => {
           this.releases.push(`${upstream} ${reason}`);
         },
-        stalled: () => undefined,
-        dropped: () => {
+        onStall: () => undefined,
+        onEventDiscarded: () => {
           this.discardedEvents += 1;
         },
         otherEntries: () => [],
-        finished: () => undefined,
+        onFinished: () => undefined,
       },
     });
     this.relay.start();
@@ -98,13 +98,13 @@
 void test.test('tokens of another generation and repeated tokens are discarded', () => {
   const harness = new GenerationRelayTestHarness();
   const engine = harness.listener(0);
-  engine.opened();
-  engine.token('r.1', 0, 'a');
-  engine.token('other.1', 1, 'x');
-  engine.token('r.1', 0, 'a');
-  engine.token('r.1', 1, 'b');
-  engine.ended('other.1', 1);
-  engine.ended('r.1', 2);
+  engine.onAccepted();
+  engine.onToken('r.1', 0, 'a');
+  engine.onToken('other.1', 1, 'x');
+  engine.onToken('r.1', 0, 'a');
+  engine.onToken('r.1', 1, 'b');
+  engine.onCompleted('other.1', 1);
+  engine.onCompleted('r.1', 2);
   assert.deepEqual(harness.callerEvents, ['0', '1', 'ended 2']);
   assert.equal(harness.discardedEvents, 3);
 });
@@ -112,44 +112,44 @@
 // Guards against lost tokens: a token is missing in the stream, or the end arrives before the last token.
 void test.test('a gap is filled by resuming from the missing index', () => {
   const harness = new GenerationRelayTestHarness();
-  harness.listener(0).token('r.1', 0, 'a');
-  harness.listener(0).token('r.1', 2, 'c');
+  harness.listener(0).onToken('r.1', 0, 'a');
+  harness.listener(0).onToken('r.1', 2, 'c');
   assert.equal(harness.connections[1]?.kind, 'resume r.1 from 1');
-  harness.listener(1).token('r.1', 1, 'b');
-  harness.listener(1).ended('r.1', 3);
+  harness.listener(1).onToken('r.1', 1, 'b');
+  harness.listener(1).onCompleted('r.1', 3);
   assert.equal(harness.connections[2]?.kind, 'resume r.1 from 2');
-  harness.listener(2).token('r.1', 2, 'c');
-  harness.listener(2).ended('r.1', 3);
+  harness.listener(2).onToken('r.1', 2, 'c');
+  harness.listener(2).onCompleted('r.1', 3);
   assert.deepEqual(harness.callerEvents, ['0', '1', '2', 'ended 3']);
 });
 
 // Guards against late events of a lost generation after the request was restarted on another engine.
 void test.test('late events of a discarded generation do not reach the caller', () => {
   const harness = new GenerationRelayTestHarness(true);
-  harness.listener(0).token('r.1', 0, 'a');
-  harness.listener(0).failed('unknownGeneration', '');
-  harness.listener(1).token('r.2', 0, 'A');
-  harness.listener(0).token('r.1', 1, 'b');
-  harness.listener(0).ended('r.1', 2);
-  harness.listener(1).token('r.1', 1, 'b');
-  harness.listener(1).ended('r.2', 1);
+  harness.listener(0).onToken('r.1', 0, 'a');
+  harness.listener(0).onFailed('unknownGeneration', '');
+  harness.listener(1).onToken('r.2', 0, 'A');
+  harness.listener(0).onToken('r.1', 1, 'b');
+  harness.listener(0).onCompleted('r.1', 2);
+  harness.listener(1).onToken('r.1', 1, 'b');
+  harness.listener(1).onCompleted('r.2', 1);
   assert.deepEqual(harness.callerEvents, ['0', 'restart', '0', 'ended 1']);
 });
 
 void test.test('an engine that accepts but repeatedly makes no progress is abandoned', () => {
   const harness = new GenerationRelayTestHarness();
-  harness.listener(0).token('r.1', 0, 'a');
-  harness.listener(0).token('r.1', 5, 'f');
-  harness.listener(1).opened();
-  harness.listener(1).token('r.1', 5, 'f');
-  harness.listener(2).token('r.1', 5, 'f');
+  harness.listener(0).onToken('r.1', 0, 'a');
+  harness.listener(0).onToken('r.1', 5, 'f');
+  harness.listener(1).onAccepted();
+  harness.listener(1).onToken('r.1', 5, 'f');
+  harness.listener(2).onToken('r.1', 5, 'f');
   assert.deepEqual(harness.callerEvents, ['0', 'interrupted']);
 });
 
 // Guards against a placement that counts as running indefinitely because its caller disconnected in the queue.
 void test.test('a placement granted after the caller disconnected is released', () => {
   const harness = new GenerationRelayTestHarness(false, false);
-  harness.relay.callerGone();
+  harness.relay.onCallerDisconnect();
   harness.grantPlacement();
   assert.equal(harness.connections.length, 0);
   assert.deepEqual(harness.releases, ['e1 callerGone']);
--- a/packages/kumquatfront/src/streams/generationRelay.ts
+++ b/packages/kumquatfront/src/streams/generationRelay.ts
@@ -10,32 +10,33 @@
 import type * as types from './types.js';
 
 /** Why a relay released an upstream; `neverSent` if no byte of the request can have reached it. */
-export type LeaveReason = 'whole' | 'failure' | 'neverSent' | 'stall' | 'refused' | 'callerGone' | 'invalid';
+export type ReleaseReason =
+  'whole' | 'failure' | 'neverSent' | 'stall' | 'refused' | 'callerGone' | 'invalid';
 
 /** Services and notifications that the entry provides to a relay. */
 export interface RelayHost {
-  readonly place: (
+  readonly requestPlacement: (
     exclude: ReadonlySet<string>,
     done: (placement: routing.Placement) => void,
   ) => ports.Cancel;
   readonly issueToken: (target: types.UpstreamTarget, generation: string) => string;
   readonly mayRetry: () => boolean;
-  readonly progressed: (produced: number) => void;
+  readonly onProgress: (produced: number) => void;
   /** The relay no longer uses the upstream. */
-  readonly left: (upstream: string, produced: number, reason: LeaveReason) => void;
-  readonly stalled: (milliseconds: number) => void;
-  readonly dropped: () => void;
+  readonly onReleased: (upstream: string, produced: number, reason: ReleaseReason) => void;
+  readonly onStall: (milliseconds: number) => void;
+  readonly onEventDiscarded: () => void;
   /** Addresses of other entries, for refusals. */
   readonly otherEntries: () => readonly string[];
   /** Called once, when the relay has ended. */
-  readonly finished: () => void;
+  readonly onFinished: () => void;
 }
 
 /** Options of a generation relay. */
 export interface GenerationRelayOptions {
   readonly requestId: string;
   /** The request; undefined for a resumed stream, which cannot be rerun. */
-  readonly order: Omit<types.GenerationOrder, 'generation'> | undefined;
+  readonly request: Omit<types.EngineRequest, 'generation'> | undefined;
   /** True if the caller supports restarts and the selector allows them. */
   readonly mayRestart: boolean;
   readonly engines: types.GenerationPort;
@@ -90,12 +91,12 @@
     this.nextIndex = nextIndex;
     this.tokenPrefix = this.options.host.issueToken(target, generation);
     this.lastProgressAt = this.now();
-    this.options.caller.accepted(`${this.tokenPrefix}.${nextIndex}`);
+    this.options.caller.sendAccepted(`${this.tokenPrefix}.${nextIndex}`);
     this.reconnect();
   }
 
   private requestPlacement(): void {
-    this.cancelPlacement = this.options.host.place(this.excludedUpstreams, (placement) => {
+    this.cancelPlacement = this.options.host.requestPlacement(this.excludedUpstreams, (placement) => {
       if (this.isFinished) {
         this.releasePlacement(placement);
         return;
@@ -115,7 +116,7 @@
    */
   private releasePlacement(placement: routing.Placement): void {
     if (placement.type === 'granted') {
-      this.options.host.left(placement.upstream.announcement.name, 0, 'callerGone');
+      this.options.host.onReleased(placement.upstream.announcement.name, 0, 'callerGone');
     }
   }
 
@@ -139,7 +140,7 @@
   }
 
   private dispatch(target: types.UpstreamTarget): void {
-    const { order: request, requestId, host, engines, caller } = this.options;
+    const { request, requestId, host, engines, caller } = this.options;
     if (request === undefined) {
       return;
     }
@@ -153,9 +154,9 @@
     this.lastProgressAt = this.now();
     this.tokenPrefix = host.issueToken(target, this.generation);
     if (isRestart) {
-      caller.restarted(`${this.tokenPrefix}.0`);
+      caller.sendRestart(`${this.tokenPrefix}.0`);
     } else {
-      caller.accepted(`${this.tokenPrefix}.0`);
+      caller.sendAccepted(`${this.tokenPrefix}.0`);
     }
     this.openConnection((listener) =>
       engines.start(target, { ...request, generation: this.generation }, listener),
@@ -170,21 +171,21 @@
     const connectionNumber = this.connectionNumber;
     const isCurrent = (): boolean => connectionNumber === this.connectionNumber && !this.isFinished;
     const connection = open({
-      opened: () => {
+      onAccepted: () => {
         if (isCurrent()) {
           this.accepted = true;
           this.startIdleTimer(this.options.settings.stallTimeout);
         }
       },
-      token: (generation, index, data) => {
+      onToken: (generation, index, data) => {
         this.onToken(isCurrent(), generation, index, data);
       },
-      ended: (generation, count) => {
+      onCompleted: (generation, count) => {
         if (isCurrent()) {
           this.onCompleted(generation, count);
         }
       },
-      failed: (reason, detail) => {
+      onFailed: (reason, detail) => {
         if (isCurrent()) {
           this.onFailed(reason, detail);
         }
@@ -209,7 +210,7 @@
     // Late or misrouted tokens carry another generation or an index that was already relayed. Forwarding one
     // would mix two answers; the expected token is still to come, so discarding it loses nothing.
     if (!isCurrent || generation !== this.generation || index < this.nextIndex) {
-      this.options.host.dropped();
+      this.options.host.onEventDiscarded();
       return;
     }
     if (index > this.nextIndex) {
@@ -220,9 +221,9 @@
     this.resumesWithoutProgress = 0;
     this.lastProgressAt = this.now();
     if (this.nextIndex % PROGRESS_REPORT_INTERVAL === 1) {
-      this.options.host.progressed(this.nextIndex);
+      this.options.host.onProgress(this.nextIndex);
     }
-    const canTakeMore = this.options.caller.token(`${this.tokenPrefix}.${this.nextIndex}`, index, data);
+    const canTakeMore = this.options.caller.sendToken(`${this.tokenPrefix}.${this.nextIndex}`, index, data);
     if (!canTakeMore) {
       this.pause();
     }
@@ -236,7 +237,7 @@
     this.connection?.pause();
   }
 
-  drained(): void {
+  onDrain(): void {
     if (this.paused && !this.isFinished) {
       this.paused = false;
       this.startIdleTimer(this.options.settings.stallTimeout);
@@ -246,7 +247,7 @@
 
   private onCompleted(generation: string, count: number): void {
     if (generation !== this.generation) {
-      this.options.host.dropped();
+      this.options.host.onEventDiscarded();
       return;
     }
     if (count !== this.nextIndex) {
@@ -255,14 +256,14 @@
     }
     this.isFinished = true;
     this.cancelTimer();
-    this.options.host.left(this.target?.name ?? '', this.nextIndex, 'whole');
-    this.options.caller.ended(count);
-    this.options.host.finished();
+    this.options.host.onReleased(this.target?.name ?? '', this.nextIndex, 'whole');
+    this.options.caller.complete(count);
+    this.options.host.onFinished();
   }
 
   private onIdleTimeout(idleTime: number): void {
     const { host, settings } = this.options;
-    host.stalled(idleTime);
+    host.onStall(idleTime);
     if (!this.accepted && this.isFirstConnection()) {
       // An engine that does not accept the request is frozen or unreachable. There is nothing to resume, so the
       // request is placed on another engine without a retry.
@@ -274,7 +275,7 @@
       return;
     }
     // An engine that accepts connections but sends no tokens is overloaded, or the generation is stuck. A
-    // preempted generation continues later, so it is abandoned only after `silenceLimit`.
+    // preempted generation continues later, so it is abandoned only after `idleTimeout`.
     if (this.now() - this.lastProgressAt >= settings.silenceLimit) {
       this.abandonUpstream('stall');
       return;
@@ -295,7 +296,7 @@
         this.abandonUpstream('refused');
         break;
       case 'invalid':
-        this.options.host.left(this.target?.name ?? '', 0, 'invalid');
+        this.options.host.onReleased(this.target?.name ?? '', 0, 'invalid');
         this.refuse({
           kind: 'invalid',
           status: 400,
@@ -350,8 +351,8 @@
     }
   }
 
-  private abandonUpstream(reason: LeaveReason): void {
-    const { host, engines, settings, order: request, mayRestart } = this.options;
+  private abandonUpstream(reason: ReleaseReason): void {
+    const { host, engines, settings, request, mayRestart } = this.options;
     const { target } = this;
     this.cancelTimer();
     this.connectionNumber += 1;
@@ -360,7 +361,7 @@
     if (target !== undefined) {
       this.excludedUpstreams.add(target.name);
       engines.cancel(target, this.generation, false);
-      host.left(target.name, this.nextIndex, reason);
+      host.onReleased(target.name, this.nextIndex, reason);
     }
     const mayDiscardTokens = this.nextIndex === 0 || mayRestart;
     const canRunAgain =
@@ -382,11 +383,11 @@
   private refuse(refusal: types.Refusal): void {
     this.isFinished = true;
     this.cancelTimer();
-    this.options.caller.refused(refusal);
-    this.options.host.finished();
+    this.options.caller.refuse(refusal);
+    this.options.host.onFinished();
   }
 
-  callerGone(): void {
+  onCallerDisconnect(): void {
     if (this.isFinished) {
       return;
     }
@@ -397,14 +398,14 @@
     this.cancelPlacement();
     this.connection?.close();
     if (target === undefined || generation === '') {
-      host.finished();
+      host.onFinished();
       return;
     }
     timers.after(settings.resumeGrace, () => {
       // The caller may have resumed at another entry, so only an unread generation is cancelled.
       engines.cancel(target, generation, true);
-      host.left(target.name, nextIndex, 'callerGone');
-      host.finished();
+      host.onReleased(target.name, nextIndex, 'callerGone');
+      host.onFinished();
     });
   }
 }
--- a/packages/kumquatfront/src/streams/quarantineRefusals.ts
+++ b/packages/kumquatfront/src/streams/quarantineRefusals.ts
@@ -8,7 +8,7 @@
 /** Client libraries retry a 503 automatically, but not this status. */
 const STATUS = 422;
 
-const MESSAGE = `The request was not forwarded: ${quarantine.QUARANTINED}.`;
+const MESSAGE = `The request was not forwarded: ${quarantine.QUARANTINED_MESSAGE}.`;
 
 /** For a request that no upstream has run. */
 export const notRun: types.Refusal = {
--- a/packages/kumquatfront/src/streams/resumeToken.ts
+++ b/packages/kumquatfront/src/streams/resumeToken.ts
@@ -35,7 +35,7 @@
  * const token = `${resumeToken.issuePrefix(claims, key)}.${nextIndex}`;
  * ```
  */
-export function issue(claims: ResumeClaims, key: string): string {
+export function issuePrefix(claims: ResumeClaims, key: string): string {
   const payload = Buffer.from(JSON.stringify(claims)).toString('base64url');
   return `${payload}.${sign(payload, key)}`;
 }
--- a/packages/kumquatfront/src/streams/serviceRelay.ts
+++ b/packages/kumquatfront/src/streams/serviceRelay.ts
@@ -21,7 +21,10 @@
   /** Milliseconds a service has to answer. */
   readonly timeout: number;
   readonly caller: types.ServiceCaller;
-  readonly host: Pick<generationRelay.RelayHost, 'place' | 'mayRetry' | 'left' | 'otherEntries' | 'finished'>;
+  readonly host: Pick<
+    generationRelay.RelayHost,
+    'requestPlacement' | 'mayRetry' | 'onReleased' | 'otherEntries' | 'onFinished'
+  >;
 }
 
 const MAXIMUM_OUTCOME_LENGTH = 16_384;
@@ -103,8 +106,8 @@
       this.refuseUnknownOutcome('The call ran, but its answer was too large to store.');
       return;
     }
-    this.options.caller.answered(outcome, true);
-    this.options.host.finished();
+    this.options.caller.respond(outcome, true);
+    this.options.host.onFinished();
   }
 
   private refuseUnknownOutcome(message: string, retryAfter?: number): void {
@@ -122,12 +125,12 @@
 
   private refuse(refusal: types.Refusal): void {
     const entries = refusal.retryAfter === undefined ? undefined : this.options.host.otherEntries();
-    this.options.caller.refused({ ...refusal, entries });
-    this.options.host.finished();
+    this.options.caller.refuse({ ...refusal, entries });
+    this.options.host.onFinished();
   }
 
   private requestPlacement(): void {
-    this.options.host.place(this.excludedUpstreams, (placement) => {
+    this.options.host.requestPlacement(this.excludedUpstreams, (placement) => {
       if (placement.type === 'granted') {
         const { name, address } = placement.upstream.announcement;
         this.dispatch({ name, address });
@@ -169,14 +172,14 @@
     const { services, call, timeout, host, caller } = this.options;
     this.possibleRuns += 1;
     services.call(target, call, timeout, {
-      answered: (answer) => {
-        host.left(target.name, 0, 'whole');
+      onAnswer: (answer) => {
+        host.onReleased(target.name, 0, 'whole');
         this.settleClaim('done', answer.body.length <= MAXIMUM_OUTCOME_LENGTH ? answer : null);
-        caller.answered(answer, false);
-        host.finished();
+        caller.respond(answer, false);
+        host.onFinished();
       },
-      failed: (reason) => {
-        host.left(target.name, 0, RELEASE_REASONS[reason]);
+      onFailed: (reason) => {
+        host.onReleased(target.name, 0, RELEASE_REASONS[reason]);
         this.excludedUpstreams.add(target.name);
         this.possibleRuns -= reason === 'neverSent' ? 1 : 0;
         this.onFailed(reason);
--- a/packages/kumquatfront/src/streams/types.ts
+++ b/packages/kumquatfront/src/streams/types.ts
@@ -11,7 +11,7 @@
 }
 
 /** A generation request as sent to an engine. */
-export interface GenerationOrder {
+export interface EngineRequest {
   readonly generation: string;
   /** Path of the OpenAI-style call, such as `/v1/completions`. */
   readonly path: string;
@@ -32,12 +32,12 @@
 /** Receives the events of one connection to an engine. */
 export interface GenerationListener {
   /** The engine has accepted the request or the resumption. */
-  opened(): void;
+  onAccepted(): void;
   /** One token; `data` is the text of the event, forwarded unchanged. */
-  token(generation: string, index: number, data: string): void;
+  onToken(generation: string, index: number, data: string): void;
   /** The generation is complete, with this many tokens. */
-  ended(generation: string, count: number): void;
-  failed(reason: ConnectionFailure, detail: string): void;
+  onCompleted(generation: string, count: number): void;
+  onFailed(reason: ConnectionFailure, detail: string): void;
 }
 
 /** A connection to an engine. */
@@ -50,7 +50,7 @@
 
 /** Starts, resumes and cancels generations on engines. */
 export interface GenerationPort {
-  start(target: UpstreamTarget, request: GenerationOrder, listener: GenerationListener): GenerationConnection;
+  start(target: UpstreamTarget, request: EngineRequest, listener: GenerationListener): GenerationConnection;
   resume(
     target: UpstreamTarget,
     generation: string,
@@ -83,21 +83,21 @@
 /** Sends the events of a stream to its caller. */
 export interface GenerationCaller {
   /** The request has a generation; with `resumeToken` the caller can resume it at any entry. */
-  accepted(resumeToken: string): void;
+  sendAccepted(resumeToken: string): void;
   /** Sends one token; false requests a pause until `StreamHandle.onDrain` is called. */
-  token(resumeToken: string, index: number, data: string): boolean;
+  sendToken(resumeToken: string, index: number, data: string): boolean;
   /** Discards all tokens sent so far; a new generation begins at index 0. */
-  restarted(resumeToken: string): void;
-  ended(count: number): void;
-  refused(refusal: Refusal): void;
+  sendRestart(resumeToken: string): void;
+  complete(count: number): void;
+  refuse(refusal: Refusal): void;
 }
 
 /** Through which the caller's connection controls a running stream. */
 export interface StreamHandle {
   /** The caller's connection accepts more tokens. */
-  drained(): void;
+  onDrain(): void;
   /** The caller's connection closed; the caller may resume at another entry within `resumeGrace`. */
-  callerGone(): void;
+  onCallerDisconnect(): void;
 }
 
 /** Timeouts and retry limits of relays; times are milliseconds. */
@@ -119,7 +119,7 @@
 }
 
 /** Checks whether an upstream's address accepts connections; sends no data. */
-export type CheckUpstream = (address: string, done: (sign: relayTypes.ConnectionSign) => void) => void;
+export type CheckUpstream = (address: string, done: (sign: relayTypes.ConnectionCheckResult) => void) => void;
 
 /** A call to a service that answers without streaming. */
 export interface ServiceCall {
@@ -140,9 +140,9 @@
 
 /** Receives the result of a call; exactly one of the two methods is called. */
 export interface ServiceListener {
-  answered(answer: ServiceAnswer): void;
+  onAnswer(answer: ServiceAnswer): void;
   /** `neverSent` only if no byte of the call can have reached the service. */
-  failed(reason: 'neverSent' | 'broken' | 'timeout'): void;
+  onFailed(reason: 'neverSent' | 'broken' | 'timeout'): void;
 }
 
 /** Sends calls to services. Implementations never retry a call. */
@@ -153,6 +153,6 @@
 /** Sends the result of a service call to its caller. */
 export interface ServiceCaller {
   /** `isReplay` marks a recorded answer of an earlier call with the same Idempotency-Key. */
-  answered(answer: ServiceAnswer, isReplay: boolean): void;
-  refused(refusal: Refusal): void;
+  respond(answer: ServiceAnswer, isReplay: boolean): void;
+  refuse(refusal: Refusal): void;
 }
--- a/packages/kumquatfront/src/traffic/residency.spec.ts
+++ b/packages/kumquatfront/src/traffic/residency.spec.ts
@@ -6,9 +6,9 @@
 
 import * as seededRandom from '../adapters/seededRandom.js';
 import type * as exchangeContext from '../relay/exchangeContext.js';
-import * as generationFacts from '../relay/generationFacts.js';
-import * as plainExchange from '../relay/plainExchange.js';
-import * as relayBench from '../relay/relayBench.js';
+import * as generationAttributes from '../relay/generationAttributes.js';
+import * as bufferedExchange from '../relay/bufferedExchange.js';
+import * as relayTestHarness from '../relay/relayTestHarness.js';
 import * as streamExchange from '../relay/streamExchange.js';
 import * as trafficRelay from '../relay/trafficRelay.js';
 import * as residency from './residency.js';
@@ -21,7 +21,7 @@
   ['c', 'east'],
 ]);
 
-const bareRoute = new relayBench.RelayBench([]).routed('idempotent').route;
+const bareRoute = new relayTestHarness.RelayTestHarness([]).createRoutedRequest('idempotent').route;
 
 function route(homes?: readonly string[]): types.Route {
   return { ...bareRoute, targets: [{ service: 'llm', weight: 1 }], ...(homes !== undefined && { homes }) };
@@ -46,10 +46,14 @@
 });
 
 /** Relays one request on a route with home regions; all upstreams of the harness are in data centre a. */
-function relay(homes: readonly string[], kind: types.CallKind): relayBench.RelayBench {
-  const harness = new relayBench.RelayBench(['x']);
-  harness.places.push('x');
-  const service: types.Service = { name: 'llm', maximumConnections: 10, engine: relayBench.engineTraits };
+function relay(homes: readonly string[], kind: types.CallKind): relayTestHarness.RelayTestHarness {
+  const harness = new relayTestHarness.RelayTestHarness(['x']);
+  harness.placements.push('x');
+  const service: types.Service = {
+    name: 'llm',
+    maximumConnections: 10,
+    engine: relayTestHarness.engineTraits,
+  };
   const limits = { headerBytes: 1, bodyBytes: 1, headerTimeout: 1, idleTimeout: 1 };
   const routes = [{ ...route(homes), kind }];
   const table = new routeTable.RouteTable({ version: 1, routes, services: [service], limits });
@@ -58,9 +62,9 @@
     random: seededRandom.create(1),
     regions: REGIONS,
     routes: () => table,
-    draining: () => false,
+    isDraining: () => false,
   });
-  const { request, caller } = harness.routed(kind);
+  const { request, caller } = harness.createRoutedRequest(kind);
   trafficRelayUnderTest.handle(request, caller);
   harness.time.advance(5);
   return harness;
@@ -68,7 +72,7 @@
 
 void test.test('a request runs in its home region', () => {
   for (const kind of ['idempotent', 'nonIdempotent', 'stream'] as const) {
-    assert.equal(relay(['west'], kind).sent.length, 1);
+    assert.equal(relay(['west'], kind).sentCalls.length, 1);
   }
 });
 
@@ -77,7 +81,7 @@
   'without an upstream in the home region a request is refused immediately and not executed',
   () => {
     for (const kind of ['idempotent', 'nonIdempotent', 'stream'] as const) {
-      const { sent, got } = relay(['east'], kind);
+      const { sentCalls: sent, callerEvents: got } = relay(['east'], kind);
       assert.equal(sent.length, 0);
       assert.deepEqual(got, ['refused noUpstream']);
     }
@@ -86,22 +90,25 @@
 
 // A retry uses another upstream of the home region; a stream does not run outside it.
 void test.test('a retry and a resumed stream stay in the home region', () => {
-  const harness = new relayBench.RelayBench(['x', 'y']);
-  const routed: exchangeContext.RoutedRequest = { ...harness.routed('idempotent'), dataCentres: ['a'] };
+  const harness = new relayTestHarness.RelayTestHarness(['x', 'y']);
+  const routed: exchangeContext.RoutedRequest = {
+    ...harness.createRoutedRequest('idempotent'),
+    dataCentres: ['a'],
+  };
   harness.context.instances.setEvacuated([]);
-  new plainExchange.PlainExchange(harness.context, routed).start();
-  harness.sent[0]?.listener.failed('broken', 'reset');
-  assert.equal(harness.sent.length, 2);
-  const outsideHome = new relayBench.RelayBench(['x', 'y']);
-  const stream = { ...outsideHome.routed('stream', { resumable: true }), dataCentres: ['b'] };
+  new bufferedExchange.BufferedExchange(harness.context, routed).start();
+  harness.sentCalls[0]?.listener.failed('broken', 'reset');
+  assert.equal(harness.sentCalls.length, 2);
+  const outsideHome = new relayTestHarness.RelayTestHarness(['x', 'y']);
+  const stream = { ...outsideHome.createRoutedRequest('stream', { resumable: true }), dataCentres: ['b'] };
   new streamExchange.StreamExchange(outsideHome.context, stream).start();
   outsideHome.time.advance(5);
-  assert.equal(outsideHome.sent.length, 0);
+  assert.equal(outsideHome.sentCalls.length, 0);
 });
 
 // The coordinator knows neither route nor account; it relies on the attributes sent by the entry.
 void test.test('the generation attributes sent to the coordinator include the allowed data centres', () => {
-  const routed = new relayBench.RelayBench(['x']).routed('stream');
-  assert.equal(generationFacts.of(routed)?.dataCentres, undefined);
-  assert.deepEqual(generationFacts.of({ ...routed, dataCentres: ['c'] })?.dataCentres, ['c']);
+  const routed = new relayTestHarness.RelayTestHarness(['x']).createRoutedRequest('stream');
+  assert.equal(generationAttributes.forRequest(routed)?.dataCentres, undefined);
+  assert.deepEqual(generationAttributes.forRequest({ ...routed, dataCentres: ['c'] })?.dataCentres, ['c']);
 });
--- a/packages/kumquatfront/src/traffic/routeTable.ts
+++ b/packages/kumquatfront/src/traffic/routeTable.ts
@@ -14,7 +14,7 @@
   readonly version: number;
   readonly limits: types.CallerLimits;
   /** True if requests must carry the key of a client account. */
-  readonly wantsKeys: boolean;
+  readonly requiresKeys: boolean;
   private readonly hosts = new Map<string, Map<string, types.Route>>();
   private readonly services = new Map<string, types.Service>();
   private readonly accounts = new Map<string, types.Account>();
@@ -22,7 +22,7 @@
   constructor(configuration: types.TrafficConfiguration) {
     this.version = configuration.version;
     this.limits = configuration.limits;
-    this.wantsKeys = configuration.accounts !== undefined;
+    this.requiresKeys = configuration.accounts !== undefined;
     for (const route of configuration.routes) {
       const host = route.host.toLowerCase();
       const prefixes = this.hosts.get(host) ?? new Map<string, types.Route>();
--- a/packages/kumquatfront/src/traffic/traffic.spec.ts
+++ b/packages/kumquatfront/src/traffic/traffic.spec.ts
@@ -72,7 +72,7 @@
     { name: 'two', keys: ['k3'] },
   ];
   const table = new routeTable.RouteTable(configuration([], accounts));
-  assert.equal(table.wantsKeys, true);
+  assert.equal(table.requiresKeys, true);
   assert.equal(table.accountOf('k2')?.name, 'one');
   assert.equal(table.accountOf('k4'), undefined);
 });
--- a/packages/kumquatfront/src/trafficControl/controlBench.ts
+++ b/packages/kumquatfront/src/trafficControl/controlTestHarness.ts
@@ -4,7 +4,7 @@
 import * as seededRandom from '../adapters/seededRandom.js';
 import type * as agreedTypes from '../agreedState/types.js';
 import * as controlNode from '../controlNode/controlNode.js';
-import * as instanceBench from '../instances/instanceBench.js';
+import * as instanceTestHarness from '../instances/instanceTestHarness.js';
 import * as instanceView from '../instances/instanceView.js';
 import type * as instanceTypes from '../instances/types.js';
 import * as failures from '../kernel/failures.js';
@@ -90,7 +90,7 @@
 
 /** Creates an announcement of an instance. */
 export function announcementOf(identity: string, sequence: number): instanceTypes.Announcement {
-  return instanceBench.announcement(identity, { address: `${identity}:80`, sequence });
+  return instanceTestHarness.announcement(identity, { address: `${identity}:80`, sequence });
 }
 
 /** Data centre of a replica: `b` for `b/c4`, and `a` for a name without a slash. */
@@ -99,7 +99,7 @@
 }
 
 /** Runs control replicas and entries as simulated processes. */
-export class ControlBench {
+export class ControlTestHarness {
   readonly time = new virtualTime.VirtualTime();
   readonly seeds: readonly string[];
   /** Pairs of addresses that cannot reach each other, each sorted and joined by a space. */
@@ -237,7 +237,7 @@
         dataCentre: dataCentreOf(address),
         peerAddress: address,
         control: this.seeds,
-        mayFound: firstStart,
+        mayBootstrap: firstStart,
         toleratedLosses: this.toleratedLosses,
         regions: REGIONS,
       },
@@ -258,7 +258,7 @@
     this.disks.delete(address);
   }
 
-  cut(one: string, other: string): void {
+  partition(one: string, other: string): void {
     this.partitions.add([one, other].sort().join(' '));
   }
 
@@ -267,7 +267,7 @@
   }
 
   /** Returns the address of a running seed replica; undefined if none runs. */
-  anyAlive(): string | undefined {
+  anyRunningReplica(): string | undefined {
     return this.seeds.find((seed) => this.processes.get(seed)?.alive === true);
   }
 
@@ -294,9 +294,13 @@
   }
 
   /** Sends an evacuate or restore call to a replica; returns true if it is acknowledged within a second. */
-  order(address: string, type: agreedTypes.DataCentreCommand['type'], dataCentre: string): boolean {
+  evacuateOrRestore(
+    address: string,
+    type: agreedTypes.DataCentreCommand['type'],
+    dataCentre: string,
+  ): boolean {
     let acknowledged = false;
-    this.trafficOf(address).orderDataCentre({ type, dataCentre }, (result) => {
+    this.trafficOf(address).evacuateOrRestore({ type, dataCentre }, (result) => {
       acknowledged = result.ok;
     });
     this.time.advance(1_000);
@@ -369,7 +373,7 @@
       log: this.log,
       seeds: this.seeds,
       dataCentre: 'a',
-      describe: () => ({
+      entryStatus: () => ({
         name,
         dataCentre: 'a',
         callerAddress: `${name}:1`,
@@ -379,8 +383,8 @@
       }),
       instances: view,
       onTraffic: (traffic) => configurations.push(traffic),
-      onCoordinator: () => undefined,
-      onCases: () => undefined,
+      onCoordinatorChanged: () => undefined,
+      onCrashRecords: () => undefined,
       onEvacuations: (update) => evacuations.push(update),
       onReplicaStarted: () => undefined,
     });
--- a/packages/kumquatfront/src/trafficControl/controlWatch.ts
+++ b/packages/kumquatfront/src/trafficControl/controlWatch.ts
@@ -12,7 +12,7 @@
 import type * as timerService from '../kernel/timerService.js';
 import type * as quarantineTypes from '../quarantine/types.js';
 import type * as trafficTypes from '../traffic/types.js';
-import * as rendezvous from '../utils/rendezvous.js';
+import * as rendezvousHashing from '../utils/rendezvousHashing.js';
 import * as methods from './methods.js';
 import * as trafficConfigurationFetcher from './trafficConfigurationFetcher.js';
 
@@ -38,13 +38,13 @@
   readonly log: ports.Log;
   readonly seeds: readonly string[];
   readonly dataCentre: string;
-  readonly describe: () => methods.EntryNews;
+  readonly entryStatus: () => methods.EntryStatus;
   readonly instances: instanceView.InstanceView;
   /** Called with each new configuration, in increasing order of version. */
   readonly onTraffic: (traffic: trafficTypes.VersionedText) => void;
-  readonly onCoordinator: (address: string) => void;
+  readonly onCoordinatorChanged: (address: string) => void;
   /** Called with the records that a replica sends of contents that crashed upstreams. */
-  readonly onCases: (cases: readonly quarantineTypes.CaseRecord[]) => void;
+  readonly onCrashRecords: (cases: readonly quarantineTypes.CrashRecord[]) => void;
   /** Called when the set of evacuated data centres changes, in increasing order of revision. */
   readonly onEvacuations: (evacuations: agreedTypes.Evacuations) => void;
   /** Called with the first answer of a replica since the replica started. */
@@ -95,13 +95,13 @@
   const preferred = replicas.filter(([, watched]) => isPreferred(watched));
   const candidates = preferred.length > 0 ? preferred : replicas;
   const addresses = candidates.map(([address]) => address);
-  return rendezvous.pick(key, addresses) ?? '';
+  return rendezvousHashing.pick(key, addresses) ?? '';
 }
 
 function emptyUpdate(position: {
   readonly epoch: string;
   readonly revision: number;
-}): instanceTypes.InstanceNews {
+}): instanceTypes.InstanceUpdate {
   return { ...position, whole: false, records: [], removed: [] };
 }
 
@@ -178,7 +178,7 @@
   }
 
   /** Sends this entry's status to every replica immediately, for example when the entry starts to drain. */
-  tellNow(): void {
+  reportStatusNow(): void {
     for (const [address, watched] of this.watched) {
       this.sendWatch(address, watched);
     }
@@ -199,7 +199,7 @@
   }
 
   private sendWatch(address: string, watched: WatchedReplica): void {
-    const { peers, describe, instances } = this.options;
+    const { peers, entryStatus: describe, instances } = this.options;
     watched.round += 1;
     const { round } = watched;
     const toldVersion = this.fetcher.knownVersion(address);
@@ -273,7 +273,7 @@
    * there is one, the backup in another. Hashing by entry name distributes the entries over the replicas.
    */
   private choosePreferredReplicas(): void {
-    const { dataCentre, describe } = this.options;
+    const { dataCentre, entryStatus: describe } = this.options;
     const { name } = describe();
     const answering = [...this.watched].filter(([, watched]) => watched.answering);
     const nearest = pickByRendezvous(name, answering, (watched) => watched.dataCentre === dataCentre);
@@ -317,7 +317,7 @@
 
   /** Runs before a configuration is applied: a starting entry must know the quarantined contents before it serves. */
   private applyCrashRecords(address: string, watched: WatchedReplica, { cases }: methods.WatchAnswer): void {
-    const { instances, onCases, onReplicaStarted } = this.options;
+    const { instances, onCrashRecords: onCases, onReplicaStarted } = this.options;
     const { epoch } = instances.positionOf(address);
     const hasRestarted = watched.epoch !== epoch;
     if (hasRestarted) {
@@ -350,7 +350,7 @@
     this.leader = { term, address: leaderAddress, namedAt: now };
     if (changed) {
       this.options.log.info('coordinatorChanged', { coordinator: leaderAddress, term });
-      this.options.onCoordinator(leaderAddress);
+      this.options.onCoordinatorChanged(leaderAddress);
     }
   }
 }
--- a/packages/kumquatfront/src/trafficControl/dataCentreLoss.spec.ts
+++ b/packages/kumquatfront/src/trafficControl/dataCentreLoss.spec.ts
@@ -4,19 +4,26 @@
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
 
-import * as controlBench from './controlBench.js';
+import * as controlTestHarness from './controlTestHarness.js';
 
 const CATCH_UP = 6_000;
 
-function createCluster(seeds: readonly string[], toleratedLosses: number): controlBench.ControlBench {
-  const harness = new controlBench.ControlBench(seeds, toleratedLosses);
+function createCluster(
+  seeds: readonly string[],
+  toleratedLosses: number,
+): controlTestHarness.ControlTestHarness {
+  const harness = new controlTestHarness.ControlTestHarness(seeds, toleratedLosses);
   harness.time.advance(6_000);
   assert.equal(harness.replace(seeds[0] ?? '', 7), true);
   return harness;
 }
 
 /** Kills all replicas of a data centre; the others must elect a leader, keep acknowledged changes and accept new ones. */
-function loseAndCheck(harness: controlBench.ControlBench, lost: readonly string[], left: string): void {
+function loseAndCheck(
+  harness: controlTestHarness.ControlTestHarness,
+  lost: readonly string[],
+  left: string,
+): void {
   for (const address of lost) {
     harness.kill(address);
   }
--- a/packages/kumquatfront/src/trafficControl/entryDirectory.spec.ts
+++ b/packages/kumquatfront/src/trafficControl/entryDirectory.spec.ts
@@ -13,7 +13,11 @@
 /** Number of entries by data centre in a large system. */
 const LARGE = { a: 39, b: 43, c: 40, d: 37, e: 32 };
 
-function statusOf(name: string, dataCentre: string, state: methods.EntryState = 'ready'): methods.EntryNews {
+function statusOf(
+  name: string,
+  dataCentre: string,
+  state: methods.EntryState = 'ready',
+): methods.EntryStatus {
   const addresses = { callerAddress: `${name}:1`, peerAddress: `${name}:2` };
   return { name, dataCentre, ...addresses, state, trafficVersion: 1 };
 }
--- a/packages/kumquatfront/src/trafficControl/entryDirectory.ts
+++ b/packages/kumquatfront/src/trafficControl/entryDirectory.ts
@@ -14,10 +14,10 @@
 const REMOTE_ADDRESSES = 4;
 
 /** Minimum number of entries returned to a caller, if that many exist; a data centre may have only a few. */
-const MIN_ADDRESSES = 8;
+const MINIMUM_ADDRESSES = 8;
 
 interface KnownEntry {
-  readonly status: methods.EntryNews;
+  readonly status: methods.EntryStatus;
   readonly lastSeenAt: ports.Milliseconds;
 }
 
@@ -40,7 +40,7 @@
   }
 
   /** Records the status of an entry; returns true if the entry is new. */
-  recordStatus(status: methods.EntryNews, now: ports.Milliseconds): boolean {
+  recordStatus(status: methods.EntryStatus, now: ports.Milliseconds): boolean {
     const isNew = !this.entries.has(status.name);
     this.entries.set(status.name, { status, lastSeenAt: now });
     return isNew;
@@ -67,7 +67,7 @@
     limit: number,
     now: ports.Milliseconds,
     mayPass: (dataCentre: string) => boolean = () => true,
-  ): readonly methods.EntryNews[] {
+  ): readonly methods.EntryStatus[] {
     const ready = [...this.entries.values()]
       .filter((entry) => entry.status.state === 'ready' && now - entry.lastSeenAt <= ENTRY_LEASE)
       .map((entry) => entry.status);
@@ -77,7 +77,7 @@
     const local = usable.filter((entry) => entry.dataCentre === dataCentre);
     const remote = usable.filter((entry) => entry.dataCentre !== dataCentre);
     const chosenLocal = this.sample(local, limit - Math.min(REMOTE_ADDRESSES, remote.length));
-    const remoteCount = Math.max(REMOTE_ADDRESSES, MIN_ADDRESSES - chosenLocal.length);
+    const remoteCount = Math.max(REMOTE_ADDRESSES, MINIMUM_ADDRESSES - chosenLocal.length);
     return [...chosenLocal, ...this.sample(remote, Math.min(remoteCount, limit - chosenLocal.length))];
   }
 
--- a/packages/kumquatfront/src/trafficControl/evacuations.spec.ts
+++ b/packages/kumquatfront/src/trafficControl/evacuations.spec.ts
@@ -5,12 +5,12 @@
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
 
-import * as controlBench from './controlBench.js';
+import * as controlTestHarness from './controlTestHarness.js';
 
 const SEEDS = ['c1', 'c2', 'c3'];
 
-function createCluster(): controlBench.ControlBench {
-  const harness = new controlBench.ControlBench(SEEDS);
+function createCluster(): controlTestHarness.ControlTestHarness {
+  const harness = new controlTestHarness.ControlTestHarness(SEEDS);
   harness.time.advance(3_000);
   assert.equal(harness.replace('c1', 1), true);
   return harness;
@@ -18,11 +18,11 @@
 
 void test.test('any replica accepts the call, and a repeated call is acknowledged again', () => {
   const harness = createCluster();
-  assert.equal(harness.order('c2', 'evacuate', 'a'), true);
-  assert.equal(harness.order('c3', 'evacuate', 'a'), true);
+  assert.equal(harness.evacuateOrRestore('c2', 'evacuate', 'a'), true);
+  assert.equal(harness.evacuateOrRestore('c3', 'evacuate', 'a'), true);
   assert.deepEqual(harness.evacuatedAt('c1'), ['a']);
-  assert.equal(harness.order('c1', 'restore', 'a'), true);
-  assert.equal(harness.order('c2', 'restore', 'a'), true);
+  assert.equal(harness.evacuateOrRestore('c1', 'restore', 'a'), true);
+  assert.equal(harness.evacuateOrRestore('c2', 'restore', 'a'), true);
   assert.deepEqual(harness.evacuatedAt('c3'), []);
 });
 
@@ -30,7 +30,7 @@
   const harness = createCluster();
   for (const dataCentre of ['', 'z']) {
     let outcome = '';
-    harness.trafficOf('c1').orderDataCentre({ type: 'evacuate', dataCentre }, (result) => {
+    harness.trafficOf('c1').evacuateOrRestore({ type: 'evacuate', dataCentre }, (result) => {
       outcome = result.err ? `${result.val.kind} ${result.val.remedy}` : 'acknowledged';
     });
     assert.equal(outcome, 'notFound Name one of: a, b, c.');
@@ -39,11 +39,11 @@
 
 void test.test('all data centres may be evacuated, and restored one by one', () => {
   const harness = createCluster();
-  for (const dataCentre of controlBench.DATA_CENTRES) {
-    assert.equal(harness.order('c1', 'evacuate', dataCentre), true);
+  for (const dataCentre of controlTestHarness.DATA_CENTRES) {
+    assert.equal(harness.evacuateOrRestore('c1', 'evacuate', dataCentre), true);
   }
   assert.deepEqual(harness.evacuatedAt('c1'), ['a', 'b', 'c']);
-  assert.equal(harness.order('c1', 'restore', 'b'), true);
+  assert.equal(harness.evacuateOrRestore('c1', 'restore', 'b'), true);
   assert.deepEqual(harness.evacuatedAt('c1'), ['a', 'c']);
 });
 
@@ -52,7 +52,7 @@
   'an acknowledged evacuation survives the loss of power at all replicas and of one disk',
   () => {
     const harness = createCluster();
-    assert.equal(harness.order('c2', 'evacuate', 'b'), true);
+    assert.equal(harness.evacuateOrRestore('c2', 'evacuate', 'b'), true);
     for (const seed of SEEDS) {
       harness.kill(seed);
     }
@@ -70,9 +70,11 @@
 // After many changes the evacuation is contained only in a snapshot, no longer in the log.
 void test.test('a joining replica receives the evacuation from a snapshot', () => {
   const harness = createCluster();
-  assert.equal(harness.order('c1', 'evacuate', 'c'), true);
+  assert.equal(harness.evacuateOrRestore('c1', 'evacuate', 'c'), true);
   for (let version = 2; version <= 2_100; version += 1) {
-    harness.trafficOf(harness.leader()).replace(controlBench.configurationText(version), () => undefined);
+    harness
+      .trafficOf(harness.leader())
+      .replace(controlTestHarness.configurationText(version), () => undefined);
     harness.time.advance(5);
   }
   harness.start('c4');
@@ -89,11 +91,11 @@
   const oldLeader = harness.leader();
   const others = SEEDS.filter((seed) => seed !== oldLeader);
   for (const other of others) {
-    harness.cut(oldLeader, other);
+    harness.partition(oldLeader, other);
   }
-  assert.equal(harness.order(oldLeader, 'evacuate', 'b'), false);
+  assert.equal(harness.evacuateOrRestore(oldLeader, 'evacuate', 'b'), false);
   harness.time.advance(3_000);
-  assert.equal(harness.order(others[0] ?? '', 'evacuate', 'a'), true);
+  assert.equal(harness.evacuateOrRestore(others[0] ?? '', 'evacuate', 'a'), true);
   assert.deepEqual(
     evacuations.at(-1)?.dataCentres.map((record) => record.dataCentre),
     ['a'],
@@ -105,7 +107,9 @@
   const { evacuations } = harness.watch('e1');
   harness.time.advance(2_000);
   const countBefore = evacuations.length;
-  harness.trafficOf(harness.leader()).orderDataCentre({ type: 'evacuate', dataCentre: 'a' }, () => undefined);
+  harness
+    .trafficOf(harness.leader())
+    .evacuateOrRestore({ type: 'evacuate', dataCentre: 'a' }, () => undefined);
   harness.time.advance(20);
   assert.equal(evacuations.length, countBefore + 1);
   harness.time.advance(3_000);
--- a/packages/kumquatfront/src/trafficControl/fiveReplicas.spec.ts
+++ b/packages/kumquatfront/src/trafficControl/fiveReplicas.spec.ts
@@ -4,7 +4,7 @@
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
 
-import * as controlBench from './controlBench.js';
+import * as controlTestHarness from './controlTestHarness.js';
 
 const SEEDS = ['c1', 'c2', 'c3', 'c4', 'c5'];
 const ENTRIES = 191;
@@ -13,12 +13,12 @@
 const CATCH_UP = 6_000;
 
 interface LargeCluster {
-  readonly harness: controlBench.ControlBench;
-  readonly entries: readonly ReturnType<controlBench.ControlBench['watch']>[];
+  readonly harness: controlTestHarness.ControlTestHarness;
+  readonly entries: readonly ReturnType<controlTestHarness.ControlTestHarness['watch']>[];
 }
 
 function createLargeCluster(): LargeCluster {
-  const harness = new controlBench.ControlBench(SEEDS, 2);
+  const harness = new controlTestHarness.ControlTestHarness(SEEDS, 2);
   harness.time.advance(6_000);
   assert.deepEqual([...harness.voters()].sort(), SEEDS);
   const entries = Array.from({ length: ENTRIES }, (_, index) => harness.watch(`e${index}`));
@@ -102,7 +102,7 @@
   harness.kill(lost);
   harness.time.advance(400);
   for (const other of [...SEEDS, 'c6'].filter((address) => address !== leader)) {
-    harness.cut(leader, other);
+    harness.partition(leader, other);
   }
   harness.time.advance(2_000);
   harness.heal();
@@ -116,7 +116,7 @@
 void test.test(
   'no change is accepted while replicas that the tolerated losses require are still joining',
   () => {
-    const harness = new controlBench.ControlBench(['c1', 'c2', 'c3'], 2);
+    const harness = new controlTestHarness.ControlTestHarness(['c1', 'c2', 'c3'], 2);
     harness.start('c4', true);
     harness.start('c5', true);
     while (harness.voters().length < 3) {
@@ -131,7 +131,7 @@
 
 // Without further replicas that could join, operators must still be able to change the configuration.
 void test.test('a change is accepted by the seed replicas if no other replica joins', () => {
-  const harness = new controlBench.ControlBench(['c1', 'c2', 'c3'], 2);
+  const harness = new controlTestHarness.ControlTestHarness(['c1', 'c2', 'c3'], 2);
   harness.time.advance(6_000);
   assert.equal(harness.replace(harness.leader(), 7), true);
 });
--- a/packages/kumquatfront/src/trafficControl/instanceGossip.ts
+++ b/packages/kumquatfront/src/trafficControl/instanceGossip.ts
@@ -36,7 +36,7 @@
 
   /** Applies an instance's announcement; updates to replicas and entries have been triggered when this returns. */
   announce(announcement: instanceTypes.Announcement): void {
-    const changed = this.options.table.hear(announcement, this.now());
+    const changed = this.options.table.applyAnnouncement(announcement, this.now());
     this.unsent.add(announcement.identity);
     if (changed) {
       this.options.log.info('instanceHeard', {
@@ -53,7 +53,7 @@
 
   /** Applies an instance's termination notice, which states its name and optionally its start time. */
   markDrainingByName(name: string, born: number | undefined): void {
-    const identity = this.options.table.leaveByName(name, born, this.now());
+    const identity = this.options.table.markDrainingByName(name, born, this.now());
     if (identity !== undefined) {
       this.propagateDraining(identity);
     }
@@ -63,7 +63,7 @@
   markDraining(identities: readonly string[]): void {
     const { table } = this.options;
     for (const identity of identities) {
-      if (!table.isLeaving(identity) && table.leave(identity, this.now())) {
+      if (!table.isDrainingOrRemoved(identity) && table.markDraining(identity, this.now())) {
         this.propagateDraining(identity);
       }
     }
@@ -71,7 +71,9 @@
 
   /** Adds instances reported by an entry, which it may know from replicas that cannot reach this one. */
   addReported(announcements: readonly instanceTypes.Announcement[]): void {
-    const changes = announcements.map((announcement) => this.options.table.vouch(announcement, this.now()));
+    const changes = announcements.map((announcement) =>
+      this.options.table.applyReplicaListing(announcement, this.now()),
+    );
     if (changes.includes(true)) {
       this.options.notifyEntries();
     }
@@ -80,7 +82,7 @@
   /** Removes instances whose addresses no longer accept connections, as found by an entry. */
   removeCrashed(identities: readonly string[]): void {
     const { table, log, notifyEntries, notifyCoordinator } = this.options;
-    const dropped = identities.filter((identity) => table.end(identity, this.now()));
+    const dropped = identities.filter((identity) => table.removeCrashed(identity, this.now()));
     if (dropped.length > 0) {
       log.info('instancesEnded', { instances: dropped.join(' ') });
       notifyEntries();
@@ -89,9 +91,9 @@
   }
 
   /** Applies an instance's rate limit as reported by an entry. */
-  recordRateLimit({ instance, perSecond }: methods.HeardRateLimit): void {
+  recordRateLimit({ instance, perSecond }: methods.RateLimitUpdate): void {
     const { table, log, notifyEntries } = this.options;
-    if (table.noteRateLimit(instance, perSecond, this.now())) {
+    if (table.recordRateLimit(instance, perSecond, this.now())) {
       log.info('rateLimitHeard', { instance, perSecond });
       notifyEntries();
     }
@@ -112,10 +114,10 @@
     const { table, notifyEntries, notifyCoordinator } = this.options;
     const changes = records.map((record) => {
       const { identity, rateLimit } = record;
-      const isChanged = table.hear(record, this.now(), record.age, record.firstAge);
+      const isChanged = table.applyAnnouncement(record, this.now(), record.age, record.firstAge);
       const isLimitChanged =
         rateLimit !== undefined &&
-        table.noteRateLimit(identity, rateLimit.perSecond, this.now() - rateLimit.age);
+        table.recordRateLimit(identity, rateLimit.perSecond, this.now() - rateLimit.age);
       return isChanged || isLimitChanged;
     });
     if (changes.includes(true)) {
--- a/packages/kumquatfront/src/trafficControl/methods.ts
+++ b/packages/kumquatfront/src/trafficControl/methods.ts
@@ -6,7 +6,7 @@
 import type * as instanceTypes from '../instances/types.js';
 import type * as placementTypes from '../placement/types.js';
 import type * as quarantineTypes from '../quarantine/types.js';
-import * as rendezvous from '../utils/rendezvous.js';
+import * as rendezvousHashing from '../utils/rendezvousHashing.js';
 
 /** RPC method names. */
 export const methods = {
@@ -17,8 +17,8 @@
   /** Evacuates or restores a data centre. */
   evacuate: 'traffic.evacuate',
   gossip: 'traffic.gossip',
-  cases: 'traffic.cases',
-  ended: 'traffic.ended',
+  crashRecords: 'traffic.cases',
+  crashedInstances: 'traffic.ended',
   rateLimit: 'traffic.rateLimit',
   place: 'placement.place',
   withdraw: 'placement.withdraw',
@@ -31,7 +31,7 @@
 export type EntryState = 'starting' | 'ready' | 'draining';
 
 /** Attributes and status of an entry, sent with each watch request. */
-export interface EntryNews {
+export interface EntryStatus {
   readonly name: string;
   readonly dataCentre: string;
   /** Address that callers connect to, as `ip:port`. */
@@ -51,7 +51,7 @@
 
 /** Long poll for updates: answered when there is an update, or when the watch closes. */
 export interface WatchRequest {
-  readonly entry: EntryNews;
+  readonly entry: EntryStatus;
   readonly epoch: string;
   readonly revision: number;
   /** Highest configuration version that the entry has in force or that this replica has announced to it. */
@@ -77,7 +77,7 @@
   /** Data centre of the answering replica. */
   readonly dataCentre: string;
   /** Omitted when the entry is up to date. */
-  readonly instances?: instanceTypes.InstanceNews;
+  readonly instances?: instanceTypes.InstanceUpdate;
   /** Version of the configuration in force at the replica; 0 if there is none. */
   readonly trafficVersion: number;
   /** False when the replica's state may be stale; an entry must not start serving on the basis of a stale answer. */
@@ -90,7 +90,7 @@
   /** Number of entries with a current lease at this replica. */
   readonly entryCount: number;
   /** Records of contents that crashed upstreams; omitted when the entry is up to date. */
-  readonly cases?: quarantineTypes.CaseNews;
+  readonly cases?: quarantineTypes.CrashRecordUpdate;
   /** Data centres whose upstreams receive no new work; omitted when the entry is up to date. */
   readonly evacuations?: agreedTypes.Evacuations;
 }
@@ -101,24 +101,24 @@
 }
 
 /** Instances whose addresses no longer accept connections, as found by an entry. */
-export interface EndedInstances {
+export interface CrashedInstances {
   readonly instances: readonly string[];
 }
 
 /** Rate limit that an entry received from an instance. */
-export interface HeardRateLimit {
+export interface RateLimitUpdate {
   readonly instance: string;
   /** Requests per second from all senders together; absent once the instance no longer states a limit. */
   readonly perSecond?: number;
 }
 
 /** Crash records reported by an entry. */
-export interface CaseReport {
-  readonly cases: readonly quarantineTypes.CaseRecord[];
+export interface CrashRecordReport {
+  readonly cases: readonly quarantineTypes.CrashRecord[];
 }
 
 /** Cancels a placement request. */
-export interface Withdrawal {
+export interface PlacementWithdrawal {
   readonly identity: string;
 }
 
@@ -136,5 +136,5 @@
  * ```
  */
 export function replicaSetDigest(addresses: readonly string[]): number {
-  return Math.max(1, rendezvous.hash([...addresses].sort().join(' ')));
+  return Math.max(1, rendezvousHashing.hash([...addresses].sort().join(' ')));
 }
--- a/packages/kumquatfront/src/trafficControl/openWatches.spec.ts
+++ b/packages/kumquatfront/src/trafficControl/openWatches.spec.ts
@@ -8,7 +8,7 @@
 import type * as ports from '../kernel/ports.js';
 import * as timerService from '../kernel/timerService.js';
 import * as virtualTime from '../kernel/virtualTime.js';
-import * as controlBench from './controlBench.js';
+import * as controlTestHarness from './controlTestHarness.js';
 import type * as methods from './methods.js';
 import * as openWatches from './openWatches.js';
 
@@ -33,7 +33,7 @@
   private answer(request: methods.WatchRequest): methods.WatchAnswer {
     return {
       dataCentre: 'a',
-      instances: this.table.newsSince(request.epoch, request.revision, this.time.now()),
+      instances: this.table.updatesSince(request.epoch, request.revision, this.time.now()),
       trafficVersion: this.state.trafficVersion,
       fresh: this.state.fresh,
       leaderTerm: this.state.leaderTerm,
@@ -45,7 +45,7 @@
   }
 
   announce(identity: string): void {
-    this.table.hear(controlBench.announcementOf(identity, 1), this.time.now());
+    this.table.applyAnnouncement(controlTestHarness.announcementOf(identity, 1), this.time.now());
     this.watches.wake();
   }
 
@@ -55,7 +55,7 @@
     const position = { epoch: this.table.epoch, revision: this.table.currentRevision };
     const received = { version: this.state.trafficVersion, term: this.state.leaderTerm, evacuations: 0 };
     const attributes = { name: 'e', dataCentre: 'a', callerAddress: 'e:1', peerAddress: 'e' };
-    const entry: methods.EntryNews = { ...attributes, state: 'ready', trafficVersion: 1 };
+    const entry: methods.EntryStatus = { ...attributes, state: 'ready', trafficVersion: 1 };
     const sendWatch = (): void => {
       const request = {
         entry,
@@ -119,7 +119,7 @@
     harness.time.advance(100);
     harness.announce('i');
     assert.deepEqual(nearest, [100]);
-    harness.time.advance(openWatches.MAX_WATCH_DURATION + 250);
+    harness.time.advance(openWatches.MAXIMUM_WATCH_DURATION + 250);
     assert.equal(other.length, 1);
   },
 );
@@ -136,7 +136,7 @@
     harness.time.advance(100);
     harness.announce('i');
     harness.time.advance(10);
-    harness.table.leave('i', harness.time.now());
+    harness.table.markDraining('i', harness.time.now());
     harness.watches.wake();
     assert.deepEqual([nearest, backup], [[100, 110], [110]]);
     harness.time.advance(890);
--- a/packages/kumquatfront/src/trafficControl/openWatches.ts
+++ b/packages/kumquatfront/src/trafficControl/openWatches.ts
@@ -14,7 +14,7 @@
 import type * as methods from './methods.js';
 
 /** Maximum time a watch stays open; must be well below the entry's timeout for the request. */
-export const MAX_WATCH_DURATION: ports.Milliseconds = 700;
+export const MAXIMUM_WATCH_DURATION: ports.Milliseconds = 700;
 
 /**
  * Minimum time between two batches of answers about added or removed instances, so that one answer covers several
@@ -63,7 +63,7 @@
   /** Adds a watch and answers it immediately if an update is pending. Other watches are not checked. */
   open(request: methods.WatchRequest, reply: ports.Reply): void {
     const now = this.options.timers.now();
-    const watch: OpenWatch = { request, reply, closesAt: now + MAX_WATCH_DURATION };
+    const watch: OpenWatch = { request, reply, closesAt: now + MAXIMUM_WATCH_DURATION };
     this.watches.add(watch);
     this.answerDue([watch], now);
   }
@@ -121,7 +121,7 @@
     const newCrashRecords = request.caseRevision < state.caseRevision;
     return (
       request.toldAtOnce !== 'leaders' &&
-      (newTraffic || newCrashRecords || request.revision < table.noticeRevision)
+      (newTraffic || newCrashRecords || request.revision < table.immediateRevision)
     );
   }
 
--- a/packages/kumquatfront/src/trafficControl/operatorCalls.ts
+++ b/packages/kumquatfront/src/trafficControl/operatorCalls.ts
@@ -26,7 +26,7 @@
   /** Minimum number of voters while more replicas are about to join. */
   readonly wantedVoters: number;
   /** Whether replicas are about to become voters. */
-  readonly isGathering: () => boolean;
+  readonly hasPendingVoter: () => boolean;
   /** Names of all data centres; if empty, any name is accepted for an evacuation. */
   readonly dataCentres: readonly string[];
   /** Called when a change proposed at this replica has been committed or rejected. */
@@ -85,7 +85,7 @@
   }
 
   /** Evacuates or restores a data centre; a repeated call is acknowledged again. */
-  orderDataCentre(command: agreedTypes.DataCentreCommand, done: ports.Reply): void {
+  evacuateOrRestore(command: agreedTypes.DataCentreCommand, done: ports.Reply): void {
     const { log, dataCentres } = this.options;
     const { type: order, dataCentre } = command;
     if (dataCentre === '' || (dataCentres.length > 0 && !dataCentres.includes(dataCentre))) {
@@ -140,11 +140,11 @@
   }
 
   private proposeLocally(command: agreedTypes.Command, done: ports.Reply): void {
-    const { replica: own, leastVoters, wantedVoters, isGathering, onChangeSettled } = this.options;
+    const { replica: own, leastVoters, wantedVoters, hasPendingVoter, onChangeSettled } = this.options;
     const voters = own.status().members.filter((member) => member.role === 'voter').length;
     // Right after bootstrap too few replicas hold the log to survive the tolerated losses, so a change committed then
     // could be lost. While replicas are joining, wait for all that the tolerated losses require.
-    const needed = isGathering() ? wantedVoters : leastVoters;
+    const needed = hasPendingVoter() ? wantedVoters : leastVoters;
     if (voters < needed) {
       const remedy = 'Retry in a second.';
       const message = `Only ${voters} of the ${needed} required voters have joined.`;
--- a/packages/kumquatfront/src/trafficControl/trafficControl.spec.ts
+++ b/packages/kumquatfront/src/trafficControl/trafficControl.spec.ts
@@ -5,15 +5,15 @@
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
 
-import * as controlBench from './controlBench.js';
+import * as controlTestHarness from './controlTestHarness.js';
 
 const SEEDS = ['c1', 'c2', 'c3'];
 
 /** Time within which a started replica must be a voter. */
 const CATCH_UP = 4_000;
 
-function createCluster(): controlBench.ControlBench {
-  const harness = new controlBench.ControlBench(SEEDS);
+function createCluster(): controlTestHarness.ControlTestHarness {
+  const harness = new controlTestHarness.ControlTestHarness(SEEDS);
   harness.time.advance(3_000);
   assert.deepEqual([...harness.voters()].sort(), SEEDS);
   return harness;
@@ -25,13 +25,13 @@
 
 // A change acknowledged by the first voter alone, before the others have joined, could be lost with its disk.
 void test.test('no change is accepted before there are enough voters to tolerate a loss', () => {
-  const harness = new controlBench.ControlBench(SEEDS);
+  const harness = new controlTestHarness.ControlTestHarness(SEEDS);
   while (harness.leader() === '') {
     harness.time.advance(5);
   }
   assert.equal(harness.voters().length, 1);
   let outcome = '';
-  harness.trafficOf(harness.leader()).replace(controlBench.configurationText(5), (result) => {
+  harness.trafficOf(harness.leader()).replace(controlTestHarness.configurationText(5), (result) => {
     outcome = result.err ? result.val.kind : 'acknowledged';
   });
   harness.time.advance(20);
@@ -63,7 +63,7 @@
   const oldLeader = harness.leader();
   const others = SEEDS.filter((seed) => seed !== oldLeader);
   for (const other of others) {
-    harness.cut(oldLeader, other);
+    harness.partition(oldLeader, other);
   }
   assert.equal(harness.read(oldLeader), undefined);
   harness.time.advance(3_000);
@@ -114,7 +114,7 @@
   assert.equal(harness.voters().length, 4);
   const removed = SEEDS.find((seed) => seed !== harness.leader()) ?? '';
   for (const other of [...SEEDS, 'c4'].filter((seed) => seed !== removed)) {
-    harness.cut(removed, other);
+    harness.partition(removed, other);
   }
   harness.time.advance(6_000);
   assert.equal(harness.voters().includes(removed), false);
@@ -152,7 +152,7 @@
   const oldLeader = harness.leader();
   const others = SEEDS.filter((seed) => seed !== oldLeader);
   for (const other of others) {
-    harness.cut(oldLeader, other);
+    harness.partition(oldLeader, other);
   }
   harness.time.advance(3_000);
   assert.equal(harness.replace(others[0] ?? '', 9), true);
@@ -169,11 +169,11 @@
   const harness = createCluster();
   const entry = harness.watch('e1');
   harness.time.advance(1_000);
-  harness.trafficOf('c2').announce(controlBench.announcementOf('i1', 1));
+  harness.trafficOf('c2').announce(controlTestHarness.announcementOf('i1', 1));
   harness.time.advance(500);
   assert.equal(entry.view.readyOf('llm').length, 1);
-  harness.cut('e1', 'c1');
-  harness.trafficOf('c1').leave('i1', undefined);
+  harness.partition('e1', 'c1');
+  harness.trafficOf('c1').markDraining('i1', undefined);
   harness.time.advance(500);
   assert.equal(entry.view.readyOf('llm').length, 0);
 });
@@ -182,11 +182,11 @@
   const harness = createCluster();
   harness.watch('e1');
   harness.time.advance(1_000);
-  assert.equal(harness.trafficOf('c1').mayAcknowledge(), true);
-  harness.cut('c1', 'c2');
-  harness.cut('c1', 'c3');
+  assert.equal(harness.trafficOf('c1').mayAcknowledgeNotice(), true);
+  harness.partition('c1', 'c2');
+  harness.partition('c1', 'c3');
   harness.time.advance(2_500);
-  assert.equal(harness.trafficOf('c1').mayAcknowledge(), false);
+  assert.equal(harness.trafficOf('c1').mayAcknowledgeNotice(), false);
 });
 
 void test.test('entries that stopped watching are not returned to callers', () => {
@@ -205,7 +205,7 @@
   const entry = harness.watch('e');
   harness.time.advance(100);
   for (let version = 1; version <= 40; version += 1) {
-    harness.trafficOf('c1').replace(controlBench.configurationText(version), () => undefined);
+    harness.trafficOf('c1').replace(controlTestHarness.configurationText(version), () => undefined);
     harness.time.advance(50);
   }
   harness.time.advance(400);
@@ -215,13 +215,13 @@
 
 /** Creates an entry to which a replica is sending version 9. */
 function entryWithPendingFetch(): {
-  readonly harness: controlBench.ControlBench;
-  readonly entry: ReturnType<controlBench.ControlBench['watch']>;
+  readonly harness: controlTestHarness.ControlTestHarness;
+  readonly entry: ReturnType<controlTestHarness.ControlTestHarness['watch']>;
 } {
   const harness = createCluster();
   const entry = harness.watch('e');
   harness.time.advance(100);
-  harness.trafficOf('c1').replace(controlBench.configurationText(9), () => undefined);
+  harness.trafficOf('c1').replace(controlTestHarness.configurationText(9), () => undefined);
   while (harness.configurationsSentTo('e') === 0) {
     harness.time.advance(0.25);
   }
@@ -232,7 +232,7 @@
 void test.test('a configuration is fetched from another replica if the first does not send it', () => {
   const { harness, entry } = entryWithPendingFetch();
   const [first = ''] = SEEDS.filter((seed) => harness.lastConfigurationFrom === seed);
-  harness.cut(first, 'e');
+  harness.partition(first, 'e');
   harness.time.advance(1_500);
   assert.equal(entry.configurations.at(-1)?.version, 9);
 });
@@ -242,7 +242,7 @@
 void test.test('a configuration that could not be fetched is fetched after the partition heals', () => {
   const { harness, entry } = entryWithPendingFetch();
   for (const seed of SEEDS) {
-    harness.cut(seed, 'e');
+    harness.partition(seed, 'e');
   }
   harness.time.advance(6_000);
   assert.equal(entry.configurations.length, 0);
