--- a/packages/kumquatfront/src/trafficControl/trafficControl.ts
+++ b/packages/kumquatfront/src/trafficControl/trafficControl.ts
@@ -13,9 +13,9 @@
 import type * as timerService from '../kernel/timerService.js';
 import * as coordinator from '../placement/coordinator.js';
 import * as evacuation from '../placement/evacuation.js';
-import type * as mechanisms from '../placement/mechanisms.js';
+import type * as placementFeatures from '../placement/placementFeatures.js';
 import type * as placementTypes from '../placement/types.js';
-import * as caseBook from '../quarantine/caseBook.js';
+import * as quarantineRegistry from '../quarantine/quarantineRegistry.js';
 import type * as residency from '../traffic/residency.js';
 import * as routeTable from '../traffic/routeTable.js';
 import type * as trafficTypes from '../traffic/types.js';
@@ -47,9 +47,9 @@
   /** Minimum number of voters while more replicas are about to join. */
   readonly wantedVoters: number;
   /** Whether replicas are about to become voters. */
-  readonly isGathering: () => boolean;
+  readonly hasPendingVoter: () => boolean;
   /** Enabled placement mechanisms; all if omitted. */
-  readonly isOn?: mechanisms.IsOn;
+  readonly isEnabled?: placementFeatures.IsEnabled;
 }
 
 /** Interval at which instance leases are checked and pending gossip is sent. */
@@ -60,7 +60,7 @@
 const STALE_CHECK_INTERVAL: ports.Milliseconds = 10;
 
 /** Location of a caller and the host it requests. */
-export interface CallerPlace {
+export interface CallerLocation {
   readonly host: string;
   readonly dataCentre: string;
   /** Empty if the caller does not state it. */
@@ -74,7 +74,7 @@
   private readonly coordinator: coordinator.Coordinator;
   private readonly entries: entryDirectory.EntryDirectory;
   private readonly watches: openWatches.OpenWatches;
-  private readonly crashRecords: caseBook.CaseBook;
+  private readonly crashRecords: quarantineRegistry.QuarantineRegistry;
   private readonly gossip: instanceGossip.InstanceGossip;
   private readonly operatorCalls: operatorCalls.OperatorCalls;
   /** Data centres that were evacuated after the last applied command. */
@@ -92,24 +92,24 @@
       metrics,
       random,
       instances: () => this.table.records(timers.now()),
-      ...(options.isOn !== undefined && { isOn: options.isOn }),
+      ...(options.isEnabled !== undefined && { isEnabled: options.isEnabled }),
       serviceOf: (name) => this.routes()?.serviceOf(name),
       isEvacuated: (dataCentre) => this.isEvacuated(dataCentre),
       warmUpTolerance: options.warmUpTolerance,
-      entries: () => this.entries.names(),
+      entryNames: () => this.entries.names(),
       move: (entryAddress, command, done) => {
         peers.request(entryAddress, methods.methods.move, command, evacuation.MOVE_TIMEOUT, (result) => {
           done(result.ok ? (result.val as placementTypes.MoveOutcome) : 'failed');
         });
       },
     });
-    this.crashRecords = new caseBook.CaseBook({
+    this.crashRecords = new quarantineRegistry.QuarantineRegistry({
       now: () => timers.now(),
       log,
       metrics,
       agreed: () => options.state.quarantined,
       mayLead: () => options.replica.mayLead(),
-      mostAgreed: options.state.mostQuarantined,
+      maximumAgreed: options.state.maximumQuarantined,
       propose: (command) => {
         this.proposeQuarantineChange(command);
       },
@@ -131,7 +131,7 @@
         this.wakeWatches();
       },
       notifyCoordinator: () => {
-        this.coordinator.instancesChanged();
+        this.coordinator.handleInstancesChanged();
       },
     });
     this.operatorCalls = new operatorCalls.OperatorCalls({
@@ -178,25 +178,25 @@
       this.gossip.mergeGossip((parameters as methods.Gossip).records);
       reply(results.Ok(null));
     });
-    peers.serve(names.cases, (parameters, reply) => {
-      if (this.crashRecords.hear((parameters as methods.CaseReport).cases)) {
+    peers.serve(names.crashRecords, (parameters, reply) => {
+      if (this.crashRecords.mergeRecords((parameters as methods.CrashRecordReport).cases)) {
         this.wakeWatches();
       }
       reply(results.Ok(null));
     });
-    peers.serve(names.ended, (parameters, reply) => {
-      this.gossip.removeCrashed((parameters as methods.EndedInstances).instances);
+    peers.serve(names.crashedInstances, (parameters, reply) => {
+      this.gossip.removeCrashed((parameters as methods.CrashedInstances).instances);
       reply(results.Ok(null));
     });
     peers.serve(names.rateLimit, (parameters, reply) => {
-      this.gossip.recordRateLimit(parameters as methods.HeardRateLimit);
+      this.gossip.recordRateLimit(parameters as methods.RateLimitUpdate);
       reply(results.Ok(null));
     });
     peers.serve(names.place, (parameters, reply) => {
       this.onPlace(parameters as methods.PlaceRequest, reply);
     });
     peers.serve(names.withdraw, (parameters, reply) => {
-      this.coordinator.withdraw((parameters as methods.Withdrawal).identity);
+      this.coordinator.withdraw((parameters as methods.PlacementWithdrawal).identity);
       reply(results.Ok(null));
     });
     peers.serve(names.report, (parameters, reply) => {
@@ -206,7 +206,7 @@
   }
 
   /** Called after each log command that is applied at this replica. */
-  applied(): void {
+  onCommandApplied(): void {
     const { dataCentres } = this.options.state.evacuations;
     const evacuated = dataCentres.map((record) => record.dataCentre);
     // Upstreams may have turned cold while they received no requests, and report it only with their next announcement.
@@ -235,12 +235,12 @@
 
   private onReport(report: placementTypes.EntryReport): void {
     this.gossip.addReported(report.unlisted);
-    this.coordinator.report(report);
+    this.coordinator.applyReport(report);
     this.gossip.markDraining(report.leaving);
   }
 
   private onPlace(request: methods.PlaceRequest, reply: ports.Reply): void {
-    this.coordinator.place(request, (answer) => {
+    this.coordinator.requestPlacement(request, (answer) => {
       reply(results.Ok(answer));
     });
   }
@@ -272,8 +272,8 @@
   }
 
   /** Evacuates or restores a data centre. */
-  orderDataCentre(command: agreedTypes.DataCentreCommand, done: ports.Reply): void {
-    this.operatorCalls.orderDataCentre(command, done);
+  evacuateOrRestore(command: agreedTypes.DataCentreCommand, done: ports.Reply): void {
+    this.operatorCalls.evacuateOrRestore(command, done);
   }
 
   /** Applies an instance's announcement; updates to replicas and entries have been triggered when this returns. */
@@ -282,7 +282,7 @@
   }
 
   /** Applies an instance's termination notice, which states its name and optionally its start time. */
-  leave(name: string, born: number | undefined): void {
+  markDraining(name: string, born: number | undefined): void {
     this.gossip.markDrainingByName(name, born);
   }
 
@@ -292,7 +292,7 @@
     for (const entry of this.entries.expire(now)) {
       this.options.log.info('entryLost', { entry });
     }
-    this.crashRecords.beat();
+    this.crashRecords.tick();
     this.wakeWatches();
   }
 
@@ -328,11 +328,13 @@
     const control = status.members.map((member) => member.address);
     const isCurrent = request.epoch === this.table.epoch && request.revision === this.table.currentRevision;
     const { evacuations } = state;
-    const cases = this.crashRecords.newsSince(request.epoch === this.table.epoch ? request.caseRevision : 0);
+    const cases = this.crashRecords.updatesSince(
+      request.epoch === this.table.epoch ? request.caseRevision : 0,
+    );
     return {
       dataCentre,
       ...(!isCurrent && {
-        instances: this.table.newsSince(request.epoch, request.revision, timers.now()),
+        instances: this.table.updatesSince(request.epoch, request.revision, timers.now()),
       }),
       ...(methods.replicaSetDigest(control) !== request.controlDigest && { control }),
       trafficVersion: state.traffic?.version ?? 0,
@@ -349,7 +351,7 @@
    * Whether a termination notice may be acknowledged: entries watch this replica, and it reaches a quorum of the other
    * replicas, which notify the remaining entries.
    */
-  mayAcknowledge(): boolean {
+  mayAcknowledgeNotice(): boolean {
     return this.options.replica.isFresh() && this.entries.size > 0;
   }
 
@@ -357,7 +359,7 @@
    * Entries to return to a caller, of those with a current lease at this replica. For a host whose routes restrict
    * regions, entries in those regions or in the caller's region are preferred.
    */
-  entriesFor(caller: CallerPlace, limit: number): readonly methods.EntryNews[] {
+  entriesFor(caller: CallerLocation, limit: number): readonly methods.EntryStatus[] {
     const { regions, timers } = this.options;
     const homes = this.routes()?.homesOf(caller.host) ?? [];
     const region = regions.get(caller.dataCentre) ?? caller.region;
--- a/packages/kumquatfront/src/trafficEntry/evacuatedDataCentre.spec.ts
+++ b/packages/kumquatfront/src/trafficEntry/evacuatedDataCentre.spec.ts
@@ -5,30 +5,34 @@
 import * as test from 'node:test';
 
 import type * as ports from '../kernel/ports.js';
-import * as crashBench from '../quarantine/crashBench.js';
-import * as crashBenchTraffic from '../quarantine/crashBenchTraffic.js';
+import * as crashTestHarness from '../quarantine/crashTestHarness.js';
+import * as crashTestTraffic from '../quarantine/crashTestTraffic.js';
 
 const DATA_CENTRES = ['a', 'b', 'c'];
 
 /** Maximum time after the acknowledgement until an entry connected to control applies an evacuation. */
 const PROPAGATION_DEADLINE: ports.Milliseconds = 1_000;
 
-function createHarness(): crashBench.CrashBench {
-  return new crashBench.CrashBench(4, { llm: 6, app: 3 }, () => 'served', 3, DATA_CENTRES);
+function createHarness(): crashTestHarness.CrashTestHarness {
+  return new crashTestHarness.CrashTestHarness(4, { llm: 6, app: 3 }, () => 'served', 3, DATA_CENTRES);
 }
 
 /** Sends requests for both services to all entries in round robin order. */
-function sendRequests(harness: crashBench.CrashBench, duration: ports.Milliseconds, pause = 20): void {
+function sendRequests(
+  harness: crashTestHarness.CrashTestHarness,
+  duration: ports.Milliseconds,
+  pause = 20,
+): void {
   const until = harness.time.now() + duration;
   for (let count = 0; harness.time.now() < until; count += 1) {
     const entry = harness.entryNames[count % harness.entryNames.length] ?? '';
-    harness.ask(entry, count % 2 === 0 ? 'llm' : 'app', `c${count}-${until}`);
+    harness.sendRequest(entry, count % 2 === 0 ? 'llm' : 'app', `c${count}-${until}`);
     harness.time.advance(pause);
   }
 }
 
 function countArrivals(
-  harness: crashBench.CrashBench,
+  harness: crashTestHarness.CrashTestHarness,
   dataCentre: string,
   since: ports.Milliseconds,
 ): number {
@@ -41,12 +45,12 @@
     const harness = createHarness();
     sendRequests(harness, 2_000);
     assert.ok(countArrivals(harness, 'a', 0) > 0);
-    assert.equal(harness.control.order('c2', 'evacuate', 'a'), true);
+    assert.equal(harness.control.evacuateOrRestore('c2', 'evacuate', 'a'), true);
     const acknowledged = harness.time.now();
     sendRequests(harness, 4_000);
     assert.equal(countArrivals(harness, 'a', acknowledged + PROPAGATION_DEADLINE), 0);
     assert.deepEqual([...new Set(harness.attempts.map(({ outcome }) => outcome))], ['served', undefined]);
-    assert.equal(harness.control.order('c1', 'restore', 'a'), true);
+    assert.equal(harness.control.evacuateOrRestore('c1', 'restore', 'a'), true);
     const restored = harness.time.now();
     sendRequests(harness, 4_000);
     assert.ok(countArrivals(harness, 'a', restored) > 0);
@@ -57,7 +61,7 @@
 // leader.
 void test.test('a starting entry applies the evacuation before it sends any request', () => {
   const harness = createHarness();
-  assert.equal(harness.control.order('c2', 'evacuate', 'a'), true);
+  assert.equal(harness.control.evacuateOrRestore('c2', 'evacuate', 'a'), true);
   harness.time.advance(PROPAGATION_DEADLINE);
   const since = harness.time.now();
   harness.control.kill(harness.control.leader());
@@ -73,9 +77,9 @@
 // Guards against entries dropping the last known evacuation when no control replica answers and they place locally.
 void test.test('entries apply the evacuation without control', () => {
   const harness = createHarness();
-  assert.equal(harness.control.order('c2', 'evacuate', 'a'), true);
+  assert.equal(harness.control.evacuateOrRestore('c2', 'evacuate', 'a'), true);
   harness.time.advance(PROPAGATION_DEADLINE);
-  for (const replica of crashBench.REPLICAS) {
+  for (const replica of crashTestHarness.REPLICAS) {
     harness.control.kill(replica);
   }
   const since = harness.time.now();
@@ -89,10 +93,10 @@
   () => {
     const harness = createHarness();
     for (const dataCentre of DATA_CENTRES) {
-      assert.equal(harness.control.order('c1', 'evacuate', dataCentre), true);
+      assert.equal(harness.control.evacuateOrRestore('c1', 'evacuate', dataCentre), true);
     }
     for (const service of ['llm', 'app'] as const) {
-      const { refusal } = harness.ask('e1', service, `late-${service}`);
+      const { refusal } = harness.sendRequest('e1', service, `late-${service}`);
       assert.ok(refusal);
       assert.equal(refusal.reason, 'noUpstream');
       assert.match(refusal.message, /evacuated data centre/);
@@ -105,12 +109,12 @@
   'restored upstreams get no more than cold ones tolerate until they have had time to warm up',
   () => {
     const harness = createHarness();
-    assert.equal(harness.control.order('c2', 'evacuate', 'a'), true);
+    assert.equal(harness.control.evacuateOrRestore('c2', 'evacuate', 'a'), true);
     sendRequests(harness, 2_000, 4);
     const restored = harness.time.now();
-    harness.control.trafficOf('c1').orderDataCentre({ type: 'restore', dataCentre: 'a' }, () => undefined);
+    harness.control.trafficOf('c1').evacuateOrRestore({ type: 'restore', dataCentre: 'a' }, () => undefined);
     sendRequests(harness, 4_000, 4);
-    const { requestsPerSecond, duration } = crashBenchTraffic.WARM_UP;
+    const { requestsPerSecond, duration } = crashTestTraffic.WARM_UP;
     const upstreams = new Set(harness.arrivals.map(({ upstream }) => upstream));
     let afterwards = 0;
     for (const upstream of upstreams) {
--- a/packages/kumquatfront/src/trafficEntry/trafficEntry.ts
+++ b/packages/kumquatfront/src/trafficEntry/trafficEntry.ts
@@ -3,20 +3,20 @@
  * accesses the environment only through ports.
  */
 import * as rateLimitShare from '../backPressure/rateLimitShare.js';
-import * as sendRules from '../backPressure/sendRules.js';
-import * as signalBook from '../backPressure/signalBook.js';
+import * as sendPolicy from '../backPressure/sendPolicy.js';
+import * as signalRegistry from '../backPressure/signalRegistry.js';
 import * as instanceLog from '../instances/instanceLog.js';
 import * as instanceView from '../instances/instanceView.js';
 import * as failures from '../kernel/failures.js';
 import type * as ports from '../kernel/ports.js';
 import * as serviceRegistry from '../kernel/serviceRegistry.js';
 import * as timerService from '../kernel/timerService.js';
-import * as localChoice from '../relay/localChoice.js';
+import * as localBalancer from '../relay/localBalancer.js';
 import * as placementClient from '../relay/placementClient.js';
-import * as retryAllowance from '../relay/retryAllowance.js';
+import * as serviceRetryBudget from '../relay/serviceRetryBudget.js';
 import * as trafficRelay from '../relay/trafficRelay.js';
 import type * as relayTypes from '../relay/types.js';
-import * as caseReporter from '../quarantine/caseReporter.js';
+import * as crashReporter from '../quarantine/crashReporter.js';
 import * as guardedUpstreams from '../quarantine/guardedUpstreams.js';
 import * as quarantine from '../quarantine/quarantine.js';
 import type * as residency from '../traffic/residency.js';
@@ -39,7 +39,7 @@
   readonly seeds: readonly string[];
   /** Region of each data centre, by name. */
   readonly regions: residency.Regions;
-  readonly retries: retryAllowance.AllowanceSettings;
+  readonly retries: serviceRetryBudget.RetryBudgetSettings;
   /** How far the combined traffic of all senders may exceed the request limit of a cold upstream. */
   readonly warmUpTolerance: warmUpBounds.WarmUpTolerance;
 }
@@ -79,25 +79,25 @@
     this.entryPorts = entryPorts;
     this.timers = timerService.create(entryPorts.clock, entryPorts.scheduler);
     const { timers } = this;
-    const signals = new signalBook.SignalBook({
+    const signals = new signalRegistry.SignalRegistry({
       timers,
       log,
       metrics,
-      noteNotice: (identity) => instances.noteNotice(identity, timers.now()),
-      toldOf: (identity) => instances.get(identity)?.rateLimit,
-      tell: (identity, perSecond) => {
+      recordTerminationNotice: (identity) => instances.recordTerminationNotice(identity, timers.now()),
+      publishedRateLimitOf: (identity) => instances.get(identity)?.rateLimit,
+      publishRateLimit: (identity, perSecond) => {
         this.notifyControl(methods.methods.rateLimit, {
           instance: identity,
           perSecond,
-        } satisfies methods.HeardRateLimit);
+        } satisfies methods.RateLimitUpdate);
       },
     });
     const instances = new instanceView.InstanceView((update) => {
       instanceLog.write(log, update);
       for (const change of update.changes) {
         const { instance, event } = change;
-        this.quarantine.detector.onInstance(change);
-        signals.onInstance(change);
+        this.quarantine.detector.onInstanceChange(change);
+        signals.onInstanceChange(change);
         if (event === 'gone' || event === 'replaced') {
           balancer.forget(instance.identity);
           rules.forget(instance.identity);
@@ -108,16 +108,16 @@
       }
     });
     const entryCount = (): number => this.watch.entryCount;
-    const rules = new sendRules.SendRules({
+    const rules = new sendPolicy.SendPolicy({
       entry: settings.name,
       random,
       instances,
       signals,
       rateShare: new entryShare.EntryShare(settings.name, entryCount, rateLimitShare.RATE_WINDOW),
       coldShare: new entryShare.EntryShare(settings.name, entryCount, warmUpBounds.COLD_WINDOW),
-      toleratedBy: (service) => this.coldRequestLimitOf(service),
+      warmUpLimitOf: (service) => this.coldRequestLimitOf(service),
     });
-    const balancer = new localChoice.LocalChoice({ random, dataCentre: settings.dataCentre, rules });
+    const balancer = new localBalancer.LocalBalancer({ random, dataCentre: settings.dataCentre, rules });
     this.placement = new placementClient.PlacementClient({
       entry: settings.name,
       dataCentre: settings.dataCentre,
@@ -129,27 +129,29 @@
       coordinator: () => this.watch.coordinator,
       instances,
     });
-    const reporter = new caseReporter.CaseReporter({
+    const reporter = new crashReporter.CrashReporter({
       timers,
       peers,
       replicas: () => this.watch.replicas(),
-      caseOf: (content) => this.quarantine.caseOf(content),
+      recordOf: (content) => this.quarantine.recordOf(content),
     });
     this.quarantine = new quarantine.Quarantine({
       timers,
       log,
       metrics,
       check: upstreams.check,
-      hasGivenNotice: (identity) => instances.hasGivenNotice(identity),
-      tell: (content) => {
-        reporter.tellAll([content]);
+      isTerminating: (identity) => instances.isTerminating(identity),
+      report: (content) => {
+        reporter.reportToAll([content]);
       },
-      onEnded: (instance) => {
-        this.notifyControl(methods.methods.ended, { instances: [instance] } satisfies methods.EndedInstances);
+      onInstanceDown: (instance) => {
+        this.notifyControl(methods.methods.crashedInstances, {
+          instances: [instance],
+        } satisfies methods.CrashedInstances);
       },
     });
     const { placement, quarantine: guard } = this;
-    const budget = new retryAllowance.RetryAllowance(
+    const budget = new serviceRetryBudget.ServiceRetryBudget(
       settings.retries,
       () => this.watch.shareOfEntries,
       random,
@@ -164,20 +166,20 @@
           timers,
           quarantine: guard,
           signals,
-          rules,
+          policy: rules,
           log,
         }),
         instances,
         rules,
-        choice: balancer,
-        allowance: budget,
+        balancer,
+        retryBudget: budget,
         placement,
         quarantine: guard,
       },
       random,
       regions: settings.regions,
       routes: () => this.routes,
-      draining: () => this.isDraining,
+      isDraining: () => this.isDraining,
     });
     this.watch = new controlWatch.ControlWatch({
       timers,
@@ -185,16 +187,16 @@
       log,
       seeds: settings.seeds,
       dataCentre: settings.dataCentre,
-      describe: () => this.describe(),
+      entryStatus: () => this.describe(),
       instances,
       onTraffic: (traffic) => {
         this.applyTraffic(traffic.text);
       },
-      onCoordinator: () => {
-        placement.coordinatorChanged();
+      onCoordinatorChanged: () => {
+        placement.onCoordinatorChange();
       },
-      onCases: (cases) => {
-        guard.take(cases);
+      onCrashRecords: (cases) => {
+        guard.mergeRecords(cases);
       },
       onEvacuations: ({ dataCentres, revision }) => {
         const names = dataCentres.map((evacuation) => evacuation.dataCentre);
@@ -203,7 +205,7 @@
       },
       onReplicaStarted: (address) => {
         // A restarted replica has only the crash records on the disks of the control replicas.
-        reporter.tell(address, guard.contents());
+        reporter.reportTo(address, guard.trackedContents());
       },
     });
     this.services.register('timers', timers);
@@ -227,10 +229,10 @@
       return undefined;
     }
     const placedBy = service.engine === undefined ? 'entries' : 'coordinator';
-    return warmUpBounds.ofEntries(service.warmUp, this.settings.warmUpTolerance, placedBy);
+    return warmUpBounds.forEntries(service.warmUp, this.settings.warmUpTolerance, placedBy);
   }
 
-  private describe(): methods.EntryNews {
+  private describe(): methods.EntryStatus {
     const { name, dataCentre, callerAddress, peerAddress } = this.settings;
     const trafficVersion = this.routes?.version ?? 0;
     return { name, dataCentre, callerAddress, peerAddress, state: this.state, trafficVersion };
@@ -258,8 +260,8 @@
     const isFirst = this.routes === undefined;
     this.routes = new routeTable.RouteTable(decoded.val);
     if (isFirst) {
-      this.watch.tellNow();
-      this.relay.configured();
+      this.watch.reportStatusNow();
+      this.relay.onConfigured();
     }
   }
 
@@ -273,7 +275,7 @@
     if (!this.isDraining) {
       this.isDraining = true;
       this.entryPorts.log.info('drainStarted', { generations: this.placement.openCount });
-      this.watch.tellNow();
+      this.watch.reportStatusNow();
     }
   }
 
--- a/packages/kumquatfront/src/utils/schemaFailures.ts
+++ b/packages/kumquatfront/src/utils/schemaFailures.ts
@@ -32,7 +32,7 @@
  * schemaFailures.fromErrors('entry.json', validate.errors ?? []);
  * ```
  */
-export function describe(subject: string, errors: readonly ajv.ErrorObject[]): failures.Failure {
+export function fromErrors(subject: string, errors: readonly ajv.ErrorObject[]): failures.Failure {
   const [first] = errors;
   if (first === undefined) {
     return failures.create('badInput', `${subject} is not valid.`, 'Compare it with the schema.');
--- a/packages/kumquatfront/src/warmUp/entryShare.ts
+++ b/packages/kumquatfront/src/warmUp/entryShare.ts
@@ -7,8 +7,8 @@
  * shares.
  */
 import type * as ports from '../kernel/ports.js';
-import * as rendezvous from '../utils/rendezvous.js';
-import * as recentCount from './recentCount.js';
+import * as rendezvousHashing from '../utils/rendezvousHashing.js';
+import * as slidingWindowCounter from './slidingWindowCounter.js';
 
 /**
  * How long a higher number of entries is used after it has decreased: entries that are temporarily cut off from control
@@ -21,7 +21,7 @@
 
 /** Sending share of one entry; see the module comment. */
 export class EntryShare {
-  private readonly sentCounter: recentCount.RecentCount;
+  private readonly sentCounter: slidingWindowCounter.SlidingWindowCounter;
   private recentMaximum = { entries: 0, at: Number.NEGATIVE_INFINITY };
 
   /**
@@ -34,7 +34,7 @@
     private readonly currentEntryCount: () => number,
     window: ports.Milliseconds,
   ) {
-    this.sentCounter = new recentCount.RecentCount(window);
+    this.sentCounter = new slidingWindowCounter.SlidingWindowCounter(window);
   }
 
   /**
@@ -46,7 +46,7 @@
    * @param now - current time
    */
   maySend(identity: string, totalPerWindow: number, now: ports.Milliseconds): boolean {
-    return this.sentCounter.of(identity, now) < this.shareOf(identity, totalPerWindow, now);
+    return this.sentCounter.countOf(identity, now) < this.shareOf(identity, totalPerWindow, now);
   }
 
   /** Time at which the next request may be sent to an upstream; undefined if this entry has no share. */
@@ -66,7 +66,8 @@
     }
     const share = totalPerWindow / entries;
     const whole = Math.floor(share);
-    const roundedUp = rendezvous.hash(`${this.entry} ${identity}`) / HASH_RANGE < share - whole ? 1 : 0;
+    const roundedUp =
+      rendezvousHashing.hash(`${this.entry} ${identity}`) / HASH_RANGE < share - whole ? 1 : 0;
     return whole + roundedUp;
   }
 
--- a/packages/kumquatfront/src/warmUp/recentCount.ts
+++ b/packages/kumquatfront/src/warmUp/slidingWindowCounter.ts
@@ -4,7 +4,7 @@
 import type * as ports from '../kernel/ports.js';
 
 /** Sliding-window counter; see the module comment. */
-export class RecentCount {
+export class SlidingWindowCounter {
   private readonly times = new Map<string, ports.Milliseconds[]>();
   private prunedAt = 0;
 
@@ -25,7 +25,7 @@
   }
 
   /** Number of events in the window that ends now. */
-  of(key: string, now: ports.Milliseconds): number {
+  countOf(key: string, now: ports.Milliseconds): number {
     return this.recentTimes(key, now).length;
   }
 
--- a/packages/kumquatfront/src/warmUp/warmUp.spec.ts
+++ b/packages/kumquatfront/src/warmUp/warmUp.spec.ts
@@ -8,7 +8,7 @@
 
 import * as seededRandom from '../adapters/seededRandom.js';
 import * as entryShare from './entryShare.js';
-import * as recentCount from './recentCount.js';
+import * as slidingWindowCounter from './slidingWindowCounter.js';
 import * as warmUpBounds from './warmUpBounds.js';
 
 const WINDOW = 1_000;
@@ -20,7 +20,7 @@
 });
 
 /** Maximum number of sorted times within any one second. */
-function maxInWindow(times: readonly number[]): number {
+function maximumInWindow(times: readonly number[]): number {
   let most = 0;
   let first = 0;
   for (const [index, time] of times.entries()) {
@@ -58,9 +58,9 @@
     fastCheck.property(bounds, ({ requestsPerSecond, overshoot, tolerance }) => {
       const warmUp = { requestsPerSecond, duration: 1_000 };
       const most = requestsPerSecond * overshoot + tolerance;
-      const coordinator = warmUpBounds.ofCoordinator(warmUp, { overshoot, tolerance });
-      const alone = warmUpBounds.ofEntries(warmUp, { overshoot, tolerance }, 'coordinator');
-      const entries = warmUpBounds.ofEntries(warmUp, { overshoot, tolerance }, 'entries');
+      const coordinator = warmUpBounds.forCoordinator(warmUp, { overshoot, tolerance });
+      const alone = warmUpBounds.forEntries(warmUp, { overshoot, tolerance }, 'coordinator');
+      const entries = warmUpBounds.forEntries(warmUp, { overshoot, tolerance }, 'entries');
       assert.ok(2 * coordinator + alone + 5 * Math.sqrt(alone) <= most + 1e-9);
       assert.ok(entries + 5 * Math.sqrt(entries) <= most + 1e-9);
       assert.ok(coordinator >= 1 && alone > 0 && entries > 0);
@@ -72,11 +72,11 @@
 void test.test('entries with shares below one request neither overload an upstream nor starve it', () => {
   const warmUp = { requestsPerSecond: 31, duration: 1_000 };
   const tolerance = { overshoot: 1.5, tolerance: 5 };
-  const ofAll = warmUpBounds.ofEntries(warmUp, tolerance, 'entries');
+  const ofAll = warmUpBounds.forEntries(warmUp, tolerance, 'entries');
   let sum = 0;
   const UPSTREAMS = 200;
   for (let index = 0; index < UPSTREAMS; index += 1) {
-    const most = maxInWindow(sendAll(75, `i-${index}`, ofAll, index));
+    const most = maximumInWindow(sendAll(75, `i-${index}`, ofAll, index));
     assert.ok(most <= 51.5, `${most} in a second`);
     sum += most;
   }
@@ -92,9 +92,9 @@
       fastCheck.integer(),
       ({ requestsPerSecond, overshoot, tolerance }, count, seed) => {
         const warmUp = { requestsPerSecond, duration: 1_000 };
-        const ofAll = warmUpBounds.ofEntries(warmUp, { overshoot, tolerance }, 'entries');
+        const ofAll = warmUpBounds.forEntries(warmUp, { overshoot, tolerance }, 'entries');
         const times = sendAll(count, `i-${seed}`, ofAll, seed);
-        assert.ok(maxInWindow(times) <= requestsPerSecond * overshoot + tolerance);
+        assert.ok(maximumInWindow(times) <= requestsPerSecond * overshoot + tolerance);
       },
     ),
     { seed: 7, numRuns: 60 },
@@ -133,11 +133,11 @@
 });
 
 void test.test('a counter covers one second and removes unused keys', () => {
-  const count = new recentCount.RecentCount(WINDOW);
+  const count = new slidingWindowCounter.SlidingWindowCounter(WINDOW);
   count.add('a', 0);
   count.add('a', 600);
-  assert.equal(count.of('a', 1_000), 2);
-  assert.equal(count.of('a', 1_001), 1);
+  assert.equal(count.countOf('a', 1_000), 2);
+  assert.equal(count.countOf('a', 1_001), 1);
   count.prune(2_000);
-  assert.equal(count.of('a', 2_000), 0);
+  assert.equal(count.countOf('a', 2_000), 0);
 });
--- a/packages/kumquatfront/src/warmUp/warmUpBounds.ts
+++ b/packages/kumquatfront/src/warmUp/warmUpBounds.ts
@@ -44,7 +44,7 @@
  */
 const MARGIN_DEVIATIONS = 5;
 
-function maxPerSecond(warmUp: WarmUp, { overshoot, tolerance }: WarmUpTolerance): number {
+function maximumPerSecond(warmUp: WarmUp, { overshoot, tolerance }: WarmUpTolerance): number {
   return warmUp.requestsPerSecond * overshoot + tolerance;
 }
 
@@ -59,8 +59,8 @@
  * warmUpBounds.forCoordinator({ requestsPerSecond: 31, duration: 1000 }, { overshoot: 1.5, tolerance: 5 }); // 15
  * ```
  */
-export function ofCoordinator(warmUp: WarmUp, tolerance: WarmUpTolerance): number {
-  return Math.max(1, Math.floor(COORDINATOR_SHARE * maxPerSecond(warmUp, tolerance)));
+export function forCoordinator(warmUp: WarmUp, tolerance: WarmUpTolerance): number {
+  return Math.max(1, Math.floor(COORDINATOR_SHARE * maximumPerSecond(warmUp, tolerance)));
 }
 
 /**
@@ -76,9 +76,9 @@
  * warmUpBounds.forEntries({ requestsPerSecond: 31, duration: 1000 }, { overshoot: 1.5, tolerance: 5 }, 'entries'); // 25.9
  * ```
  */
-export function ofEntries(warmUp: WarmUp, tolerance: WarmUpTolerance, placedBy: PlacedBy): number {
+export function forEntries(warmUp: WarmUp, tolerance: WarmUpTolerance, placedBy: PlacedBy): number {
   const share = placedBy === 'coordinator' ? ENTRIES_SHARE : 1;
-  const maximum = share * maxPerSecond(warmUp, tolerance);
+  const maximum = share * maximumPerSecond(warmUp, tolerance);
   // Solves mean + MARGIN_DEVIATIONS * sqrt(mean) = maximum for the square root of the mean.
   const root = (Math.sqrt(MARGIN_DEVIATIONS ** 2 + 4 * maximum) - MARGIN_DEVIATIONS) / 2;
   return root ** 2;
--- a/packages/scenarios/src/language/actions.ts
+++ b/packages/scenarios/src/language/actions.ts
@@ -55,7 +55,7 @@
     acceptsRestart: line.words.includes('restart'),
     persistent: line.words.includes('persistent'),
   };
-  current.stream(request, resolveHostName(current, entryOf(line)));
+  current.startStream(request, resolveHostName(current, entryOf(line)));
 };
 
 const callWithKey: Action = (current, line) => {
@@ -90,7 +90,7 @@
     : Number(expect);
   const body = line.words.includes('delete') ? null : (bodies[kind] ?? {});
   const draft = { kind: kind as 'market', name: object, body, expectedVersion, changeId: id };
-  current.change(name, draft, resolveHostName(current, wordAfter(line, 'at') ?? 'leader'));
+  current.submitChange(name, draft, resolveHostName(current, wordAfter(line, 'at') ?? 'leader'));
 };
 
 /** `changes 500 markets`: applies that many changes, one after the other. */
@@ -98,7 +98,7 @@
   for (let count = 0; count < Number(word(line, 0)); count += 1) {
     const name = `bulk-${current.changes.size}`;
     const draft = { kind: 'market' as const, name, body: { labels: { region: name } }, expectedVersion: 0 };
-    current.change(name, draft, current.world.leaders()[0] ?? '');
+    current.submitChange(name, draft, current.world.leaders()[0] ?? '');
     current.waitUntil(`${name} is accepted`, () => current.changes.get(name)?.state === 'accepted');
   }
 };
@@ -121,7 +121,7 @@
   return (current, line) => {
     const dataCentre = word(line, 0);
     const [leader = ''] = current.world.leaders();
-    current.world.controls.get(leader)?.node?.orderDataCentre({ type, dataCentre }, (result) => {
+    current.world.controls.get(leader)?.node?.evacuateOrRestore({ type, dataCentre }, (result) => {
       const outcome = result.ok ? 'acknowledged' : kumquatfront.failures.describe(result.val);
       current.world.record(`operator: ${type} ${dataCentre} ${outcome}`);
     });
@@ -147,7 +147,7 @@
 /** Entry that coordinates the engine pool, by the same rendezvous hash that entries use. */
 function coordinatorOf(current: session.Session): string {
   const up = [...current.world.entries.keys()].filter((name) => current.world.hostOf(name).isUp);
-  return kumquatfront.rendezvous.pick('llm/0/1', up) ?? '';
+  return kumquatfront.rendezvousHashing.pick('llm/0/1', up) ?? '';
 }
 
 /** Resolves `leader`, `coordinator` and `others` (an entry that is not the coordinator); other names are host names. */
@@ -203,16 +203,16 @@
     current.world.thaw(name);
   }),
   cut: (current, line) => {
-    current.world.net.cut(word(line, 0), word(line, 1));
+    current.world.network.cut(word(line, 0), word(line, 1));
   },
   'cut-one-way': (current, line) => {
-    current.world.net.cutOneWay(
+    current.world.network.cutOneWay(
       resolveHostName(current, word(line, 0)),
       resolveHostName(current, word(line, 1)),
     );
   },
   lag: (current, line) => {
-    current.world.net.setLatency(
+    current.world.network.setLatency(
       resolveHostName(current, word(line, 0)),
       word(line, 1),
       parseDuration(line, word(line, 2)),
@@ -226,16 +226,16 @@
   /** `partition control-1 entry-1`: cuts the links between the named hosts and all other hosts. */
   partition: (current, line) => {
     for (const name of line.words) {
-      for (const other of current.world.net.hosts.keys()) {
+      for (const other of current.world.network.hosts.keys()) {
         if (!line.words.includes(other)) {
-          current.world.net.cut(name, other);
+          current.world.network.cut(name, other);
         }
       }
     }
   },
   heal: (current) => {
     current.world.record('-- every link heals');
-    current.world.net.heal();
+    current.world.network.heal();
   },
   'lose-disk': createHostAction((current, name) => {
     current.world.controls.get(name)?.disk.erase();
@@ -245,7 +245,7 @@
   },
   leave: createHostAction((current, name) => {
     current.world.record(`-- ${name} says that it leaves`);
-    current.world.leave(name);
+    current.world.sendTerminationNotice(name);
   }),
   drain: createHostAction((current, name) => {
     current.world.entries.get(name)?.node?.drain(() => {
--- a/packages/scenarios/src/language/expectations.ts
+++ b/packages/scenarios/src/language/expectations.ts
@@ -72,7 +72,7 @@
     const version = current.changes.get(word(line, 0))?.version ?? 0;
     return version === 0
       ? 'the change was not accepted'
-      : compare('entries', current.inForce(version), word(line, 1));
+      : compare('entries', current.countEntriesInForce(version), word(line, 1));
   },
   /** `expect state entry-1 serving` */
   state: (current, line) =>
--- a/packages/scenarios/src/language/session.ts
+++ b/packages/scenarios/src/language/session.ts
@@ -67,7 +67,7 @@
     });
     for (const [position, draft] of [...baseConfiguration.drafts, ...additionalDrafts].entries()) {
       const name = `base-${position}`;
-      this.change(
+      this.submitChange(
         name,
         { ...draft, expectedVersion: 0, changeId: `base-change-${position}` },
         this.world.leaders()[0] ?? '',
@@ -78,18 +78,21 @@
       );
     }
     const version = Math.max(...[...this.changes.values()].map((record) => record.version));
-    this.waitUntil('the configuration is in force', () => this.inForce(version) === this.world.entries.size);
+    this.waitUntil(
+      'the configuration is in force',
+      () => this.countEntriesInForce(version) === this.world.entries.size,
+    );
   }
 
   /** Number of entries where a version or a later one is in force. */
-  inForce(version: number): number {
+  countEntriesInForce(version: number): number {
     return [...this.world.entries.values()].filter(
-      (entry) => (entry.node?.services.find('configuration').inForce ?? -1) >= version,
+      (entry) => (entry.node?.services.find('configuration').versionInForce ?? -1) >= version,
     ).length;
   }
 
   /** Submits an operator's change to a replica, which forwards it to the leader it knows. */
-  change(
+  submitChange(
     name: string,
     draft: kumquatfront.configurationTypes.ConfigurationDraft & {
       expectedVersion: number;
@@ -109,9 +112,9 @@
       const leader = replica?.node?.services.find('replica').leader()?.address ?? replicaName;
       const target = this.world.controls.get(leader);
       replica?.host.runInProcess(replica.host.incarnation, () => {
-        this.world.net.deliver(replicaName, leader, () => {
+        this.world.network.deliver(replicaName, leader, () => {
           target?.node?.configure(command, (result) => {
-            this.world.net.deliver(leader, replicaName, () => {
+            this.world.network.deliver(leader, replicaName, () => {
               // A restart of the replica closes the operator's connection.
               if (replica.host.incarnation === incarnation) {
                 this.finishChange(name, record, result);
@@ -141,7 +144,7 @@
   }
 
   /** Starts the stream of a caller. */
-  stream(request: virtualStream.StreamRequest, entryName: string): void {
+  startStream(request: virtualStream.StreamRequest, entryName: string): void {
     const stream = new virtualStream.VirtualStream(this.world.callerEnvironment(), request);
     this.streams.set(request.name, stream);
     stream.connect(entryName);
@@ -190,8 +193,8 @@
         idempotencyKey: key,
       };
       entry.host.runInProcess(incarnation, () => {
-        entry.node?.requests.call(request, {
-          answered: (answer, repeated) => {
+        entry.node?.requests.callService(request, {
+          respond: (answer, repeated) => {
             deliverLater(() => {
               record.body = answer.body;
               record.replayed = repeated;
@@ -203,7 +206,7 @@
               );
             });
           },
-          refused: (refusal) => {
+          refuse: (refusal) => {
             deliverLater(() => {
               record.refusal = refusal;
               this.finishCall(name, record, 'refused', `is told ${refusal.kind}`);
--- a/packages/scenarios/src/scripts/controlSafeguards.ts
+++ b/packages/scenarios/src/scripts/controlSafeguards.ts
@@ -144,7 +144,7 @@
   },
   {
     name: 'a new leader waits out the longest flight of an order',
-    file: 'orders/orderDesk.js',
+    file: 'orders/orderDispatcher.js',
     find: 'if (timers.now() - this.leadingSince < settings.longestFlight) {',
     replace: 'if (false) {',
     scenario: 'order-late-from-old-leader',
@@ -242,7 +242,7 @@
   },
   {
     name: 'weight loads stay within the rate of the store',
-    file: 'orders/orderDesk.js',
+    file: 'orders/orderDispatcher.js',
     find: 'if (this.loadTimes.length >= this.options.settings.weightLoadsPerMinute) {',
     replace: 'if (false) {',
     scenario: 'orders-weight-loads',
--- a/packages/scenarios/src/scripts/dataCentreSafeguards.ts
+++ b/packages/scenarios/src/scripts/dataCentreSafeguards.ts
@@ -28,7 +28,7 @@
   },
   {
     name: 'the rules of sending hold whatever is in an evacuated data centre',
-    file: 'backPressure/sendRules.js',
+    file: 'backPressure/sendPolicy.js',
     find: 'if (instances.isEvacuated(instance)) {',
     replace: 'if (false) {',
     scenario: 'spec:quarantine/guardedUpstreams',
@@ -70,9 +70,9 @@
   },
   {
     name: 'an entry chooses a cold upstream within its share only',
-    file: 'backPressure/sendRules.js',
-    find: 'return this.holdOf(instance, now) ?? this.warmUpExclusionOf(instance, now);',
-    replace: 'return this.holdOf(instance, now);',
+    file: 'backPressure/sendPolicy.js',
+    find: 'return this.exclusionOf(instance, now) ?? this.warmUpExclusionOf(instance, now);',
+    replace: 'return this.exclusionOf(instance, now);',
     scenario: 'spec:trafficEntry/evacuatedDataCentre',
   },
   {
--- a/packages/scenarios/src/scripts/quarantineSafeguards.ts
+++ b/packages/scenarios/src/scripts/quarantineSafeguards.ts
@@ -56,13 +56,13 @@
   {
     name: 'a replica that has started is told again',
     file: 'trafficEntry/trafficEntry.js',
-    find: 'reporter.tell(address, guard.contents());',
+    find: 'reporter.reportTo(address, guard.trackedContents());',
     replace: '',
     scenario: SYSTEM,
   },
   {
     name: 'replicas agree on a quarantine',
-    file: 'quarantine/caseBook.js',
+    file: 'quarantine/quarantineRegistry.js',
     find: "this.proposeThrottled({ type: 'quarantine', content });",
     replace: '',
     scenario: SYSTEM,
@@ -91,7 +91,7 @@
   {
     name: 'cases are bounded',
     file: 'quarantine/crashRecordStore.js',
-    find: 'if (this.records.size <= MAX_RECORDS) {',
+    find: 'if (this.records.size <= MAXIMUM_RECORDS) {',
     replace: 'if (true) {',
     scenario: LEDGER,
   },
@@ -105,22 +105,22 @@
   {
     name: 'the end of an instance that gave notice counts against nobody',
     file: 'quarantine/crashDetector.js',
-    find: 'run === undefined || this.options.hasGivenNotice(identity)',
+    find: 'run === undefined || this.options.isTerminating(identity)',
     replace: 'run === undefined',
     scenario: DETECTOR,
   },
   {
     name: 'nobody waits long for a check',
     file: 'quarantine/crashDetector.js',
-    find: 'const cancel = timers.after(MAX_CHECK_WAIT, call);',
+    find: 'const cancel = timers.after(MAXIMUM_CHECK_WAIT, call);',
     replace: 'const cancel = () => undefined;',
     scenario: DETECTOR,
   },
   {
     name: 'the account is part of the content',
     file: 'quarantine/contentDigest.js',
-    find: 'ofParts([method, host, path, account], body)',
-    replace: 'ofParts([method, host, path], body)',
+    find: 'fromParts([method, host, path, account], body)',
+    replace: 'fromParts([method, host, path], body)',
     scenario: DIGEST,
   },
   {
--- a/packages/scenarios/src/scripts/relaySafeguards.ts
+++ b/packages/scenarios/src/scripts/relaySafeguards.ts
@@ -58,7 +58,7 @@
   {
     name: 'an answer echoes its request',
     file: 'relay/responseClassification.js',
-    find: '!head.belongs || head.status < 200',
+    find: '!head.matchesRequest || head.status < 200',
     replace: 'false',
     scenario: PLAIN,
   },
@@ -71,14 +71,14 @@
   },
   {
     name: 'repeats draw on a budget',
-    file: 'relay/retryAllowance.js',
+    file: 'relay/serviceRetryBudget.js',
     find: 'if (counts.retries.length + counts.dither >= allowed) {',
     replace: 'if (false) {',
     scenario: PLAIN,
   },
   {
     name: 'an answer without a length is whole only where its connection was not reset',
-    file: 'adapters/freshExchange.js',
+    file: 'adapters/singleUseConnection.js',
     find: 'checkReset(finish);',
     replace: 'finish(false);',
     scenario: 'spec:adapters/singleUseConnection',
@@ -93,7 +93,7 @@
   {
     name: 'the newer incarnation has its address',
     file: 'instances/instanceView.js',
-    find: 'incumbent === undefined || incumbent.firstAt < instance.firstAt',
+    find: 'incumbent === undefined || incumbent.firstSeenAt < instance.firstSeenAt',
     replace: 'incumbent === undefined',
     scenario: INSTANCES,
   },
@@ -239,7 +239,7 @@
   },
   {
     name: 'a refusal comes early',
-    file: 'placement/waitingRules.js',
+    file: 'placement/waitLimits.js',
     find: 'const PATIENT_OBJECTIVE_SHARE = 0.12;',
     replace: 'const PATIENT_OBJECTIVE_SHARE = 1.6;',
     scenario: LATENESS,
@@ -316,21 +316,21 @@
   },
   {
     name: 'shares of the repeats are rounded at random',
-    file: 'relay/retryAllowance.js',
+    file: 'relay/serviceRetryBudget.js',
     find: 'counts.retries.length + counts.dither >= allowed',
     replace: 'counts.retries.length + 1 > allowed',
-    scenario: 'spec:relay/retryBudget',
+    scenario: 'spec:relay/serviceRetryBudget',
   },
   {
     name: 'a call that has nowhere else to go draws nothing from the budget of repeats',
-    file: 'relay/plainExchange.js',
+    file: 'relay/bufferedExchange.js',
     find: 'if (mayRetry && instance === undefined) {',
     replace: 'if (mayRetry && this.takeRetry() && instance === undefined) {',
     scenario: 'spec:relay/bufferedExchange',
   },
   {
     name: 'a call that two upstreams fail alike counts against neither',
-    file: 'relay/plainExchange.js',
+    file: 'relay/bufferedExchange.js',
     find: 'if (this.failedUpstreams.length === 1) {',
     replace: 'if (true) {',
     scenario: 'spec:relay/bufferedExchange',
@@ -345,7 +345,7 @@
   {
     name: 'no change is taken while the replicas that the tolerated losses need are joining',
     file: 'trafficControl/operatorCalls.js',
-    find: 'isGathering() ? wantedVoters : leastVoters',
+    find: 'hasPendingVoter() ? wantedVoters : leastVoters',
     replace: 'leastVoters',
     scenario: 'spec:trafficControl/fiveReplicas',
   },
--- a/packages/scenarios/src/scripts/soakRun.ts
+++ b/packages/scenarios/src/scripts/soakRun.ts
@@ -119,10 +119,10 @@
     } else if (draw < 0.84) {
       const other = this.pick(this.controlNames) ?? '';
       this.recordEvent(`cut ${name} to ${other} one way`);
-      world.net.cutOneWay(name, other);
+      world.network.cutOneWay(name, other);
     } else if (draw < 0.94) {
       this.recordEvent('heal');
-      world.net.heal();
+      world.network.heal();
     } else {
       this.recordEvent(`isolate ${name}`);
       world.isolate(name);
@@ -143,7 +143,7 @@
       changeId: `id-${name}`,
     };
     this.changeObjects.set(name, { object, expected });
-    this.session.change(name, draft, this.pick(this.controlNames) ?? '');
+    this.session.submitChange(name, draft, this.pick(this.controlNames) ?? '');
   }
 
   /** Claims a random key with the same attempt at every running replica, like an entry that retries at other replicas. */
@@ -193,7 +193,7 @@
       this.violations.push(`two leaders at ${world.time.now()}: ${world.leaders().join(', ')}`);
     }
     for (const [name, entry] of world.entries) {
-      const version = entry.node?.services.find('configuration').inForce ?? -1;
+      const version = entry.node?.services.find('configuration').versionInForce ?? -1;
       if (version < (this.lastVersionsInForce.get(name) ?? -1)) {
         this.violations.push(
           `${name}: version in force went back from ${this.lastVersionsInForce.get(name) ?? -1} to ${version}`,
@@ -205,7 +205,7 @@
 
   private recover(): void {
     const { world } = this.session;
-    world.net.heal();
+    world.network.heal();
     for (const name of this.controlNames) {
       if (!this.isUp(name)) {
         world.boot(name);
@@ -259,7 +259,7 @@
         );
       }
     }
-    if (this.session.inForce(state?.configurationVersion ?? 0) !== world.entries.size) {
+    if (this.session.countEntriesInForce(state?.configurationVersion ?? 0) !== world.entries.size) {
       this.violations.push('the newest version is not in force at all entries');
     }
     for (const [key, attempts] of this.grantedAttempts) {
--- a/packages/scenarios/src/world/virtualOrderPort.ts
+++ b/packages/scenarios/src/world/virtualOrderPort.ts
@@ -32,7 +32,7 @@
 export function create(sender: host.Host, environment: OrderEnvironment): kumquatfront.orderTypes.OrderPort {
   const { time, network, engineOf, weightStore, record } = environment;
   return {
-    give: (order, _address, timeout, done) => {
+    send: (order, _address, timeout, done) => {
       const engine = engineOf(order.upstream);
       const incarnation = sender.incarnation;
       let isPending = true;
--- a/packages/scenarios/src/world/virtualStream.ts
+++ b/packages/scenarios/src/world/virtualStream.ts
@@ -126,29 +126,29 @@
       });
     };
     return {
-      accepted: (resumeToken) => {
+      sendAccepted: (resumeToken) => {
         deliverLater(() => {
           this.resumeToken = this.resumeToken === '' ? resumeToken : this.resumeToken;
         });
       },
-      token: (resumeToken, index, data) => {
+      sendToken: (resumeToken, index, data) => {
         deliverLater(() => {
           this.onToken(resumeToken, index, data);
         });
         return !this.isSlow;
       },
-      restarted: (resumeToken) => {
+      sendRestart: (resumeToken) => {
         deliverLater(() => {
           this.resetOutput();
           this.resumeToken = resumeToken;
         });
       },
-      ended: (count) => {
+      complete: (count) => {
         deliverLater(() => {
           this.onEnded(count);
         });
       },
-      refused: (refusal) => {
+      refuse: (refusal) => {
         deliverLater(() => {
           this.onRefused(refusal);
         });
@@ -265,14 +265,14 @@
   setSlow(isSlow: boolean): void {
     this.isSlow = isSlow;
     if (!isSlow) {
-      this.handle?.drained();
+      this.handle?.onDrain();
     }
   }
 
   /** Disconnects from the entry and stops reading. */
   disconnect(): void {
     this.attempt += 1;
-    this.handle?.callerGone();
+    this.handle?.onCallerDisconnect();
     this.finish('lost', `goes away after ${this.tokens} tokens`);
   }
 
--- a/packages/scenarios/src/world/virtualUpstreams.ts
+++ b/packages/scenarios/src/world/virtualUpstreams.ts
@@ -101,7 +101,7 @@
 
   accept(): void {
     this.deliverToEntry(() => {
-      this.listener.opened();
+      this.listener.onAccepted();
     });
   }
 
@@ -114,21 +114,21 @@
   private fail(reason: kumquatfront.streamTypes.ConnectionFailure): void {
     if (!this.closed) {
       this.closed = true;
-      this.listener.failed(reason, reason);
+      this.listener.onFailed(reason, reason);
     }
   }
 
   token(generation: string, index: number): void {
     this.deliverToEntry(() => {
       const text = standIns.engineModel.tokenText(generation, index);
-      this.listener.token(generation, index, JSON.stringify({ choices: [{ text }] }));
+      this.listener.onToken(generation, index, JSON.stringify({ choices: [{ text }] }));
     });
   }
 
   ended(generation: string, count: number): void {
     this.deliverToEntry(() => {
       this.closed = true;
-      this.listener.ended(generation, count);
+      this.listener.onCompleted(generation, count);
     });
   }
 
@@ -175,7 +175,7 @@
     const engine = engines(hostOf(target));
     if (engine === undefined) {
       entryHost.runInProcess(entryIncarnation, () => {
-        listener.failed('neverSent', 'no such host');
+        listener.onFailed('neverSent', 'no such host');
       });
       return { pause: () => undefined, resume: () => undefined, close: () => undefined };
     }
@@ -243,7 +243,7 @@
       };
       const fail = (reason: 'neverSent' | 'broken' | 'timeout'): void => {
         complete(() => {
-          listener.failed(reason);
+          listener.onFailed(reason);
         });
       };
       scheduler.after(timeout, () => {
@@ -266,7 +266,7 @@
           if (service.host.isUp && !service.host.isFrozen) {
             network.deliver(name, entryHost.name, () => {
               complete(() => {
-                listener.answered({ status: 200, contentType: 'application/json', body });
+                listener.onAnswer({ status: 200, contentType: 'application/json', body });
               });
             });
           }
@@ -299,7 +299,7 @@
   const entryIncarnation = entryHost.incarnation;
   return (address, done) => {
     const name = hostOf({ name: '', address });
-    const report = (result: kumquatfront.relayTypes.ConnectionSign): void => {
+    const report = (result: kumquatfront.relayTypes.ConnectionCheckResult): void => {
       entryHost.runInProcess(entryIncarnation, () => {
         done(result);
       });
--- a/packages/scenarios/src/world/world.ts
+++ b/packages/scenarios/src/world/world.ts
@@ -65,7 +65,7 @@
 export class World {
   readonly time = new kumquatfront.virtualTime.VirtualTime();
   readonly random: kumquatfront.ports.Random;
-  readonly net: network.Network;
+  readonly network: network.Network;
   readonly controls = new Map<string, VirtualReplica>();
   readonly entries = new Map<string, VirtualEntry>();
   readonly engines = new Map<string, virtualUpstreams.VirtualEngine>();
@@ -82,7 +82,7 @@
   constructor(options: WorldOptions) {
     this.options = options;
     this.random = kumquatfront.seededRandom.create(options.seed);
-    this.net = new network.Network(this.time, this.random, options.network);
+    this.network = new network.Network(this.time, this.random, options.network);
     for (const name of options.controlNames) {
       this.addControl(name);
     }
@@ -97,7 +97,7 @@
 
   private createHost(name: string): host.Host {
     const created = new host.Host(name, this.options.dataCentreOf(name), this.time);
-    this.net.hosts.set(name, created);
+    this.network.hosts.set(name, created);
     return created;
   }
 
@@ -107,9 +107,9 @@
       clock: this.time.clock,
       scheduler: processHost.scheduler(),
       random: kumquatfront.seededRandom.create(this.random.next() * 2 ** 31 + this.derivedSeedCount),
-      peers: this.net.transportOf(processHost),
+      peers: this.network.transportOf(processHost),
       log: this.logOf(processHost),
-      metrics: kumquatfront.statsdMetrics.silent,
+      metrics: kumquatfront.statsdMetrics.noop,
     };
   }
 
@@ -156,7 +156,7 @@
   private orderPortOf(processHost: host.Host): kumquatfront.orderTypes.OrderPort {
     return virtualOrderPort.create(processHost, {
       time: this.time,
-      network: this.net,
+      network: this.network,
       engineOf: (name) => this.engines.get(name),
       weightStore: this.weightStore,
       record: (text) => {
@@ -184,16 +184,16 @@
       };
       const entryPorts = {
         ...this.basePorts(entry.host),
-        engines: virtualUpstreams.createGenerationPort(this.net, entry.host, (engine) =>
+        engines: virtualUpstreams.createGenerationPort(this.network, entry.host, (engine) =>
           this.engines.get(engine),
         ),
         services: virtualUpstreams.createServicePort(
-          this.net,
+          this.network,
           entry.host,
           (service) => this.services.get(service),
           this.time,
         ),
-        checkUpstream: virtualUpstreams.createUpstreamCheck(this.net, entry.host),
+        checkUpstream: virtualUpstreams.createUpstreamCheck(this.network, entry.host),
         orders: this.orderPortOf(entry.host),
         onDrainRequest: () => undefined,
       };
@@ -288,10 +288,10 @@
       },
       timers: kumquatfront.timerService.create(this.time.clock, processHost.scheduler()),
       random: this.random,
-      announceEvery: ANNOUNCEMENT_INTERVAL,
-      reportEvery: REPORT_INTERVAL,
+      announcementInterval: ANNOUNCEMENT_INTERVAL,
+      reportInterval: REPORT_INTERVAL,
       reportLag,
-      cacheLoss: CACHE_EVENT_LOSS_SHARE,
+      cacheEventLossShare: CACHE_EVENT_LOSS_SHARE,
       load: () => model?.load() ?? idle,
       cacheChanges: () => model?.drainCacheChanges() ?? { added: [], removed: [] },
       isFrozen: () => processHost.isFrozen,
@@ -303,28 +303,28 @@
   }
 
   /** Delivers an update of an upstream to a random reachable entry. */
-  private postUpdate(processHost: host.Host, update: kumquatfront.directoryTypes.UpstreamNews): void {
+  private postUpdate(processHost: host.Host, update: kumquatfront.directoryTypes.UpstreamUpdate): void {
     const reachable = [...this.entries.values()].filter(
       (entry) =>
-        entry.host.isUp && !entry.host.isFrozen && !this.net.isCut(processHost.name, entry.host.name),
+        entry.host.isUp && !entry.host.isFrozen && !this.network.isCut(processHost.name, entry.host.name),
     );
     const entry = reachable[Math.floor(this.random.next() * reachable.length)];
     if (entry !== undefined) {
-      this.net.deliver(processHost.name, entry.host.name, () => {
-        entry.node?.takeNews(update);
+      this.network.deliver(processHost.name, entry.host.name, () => {
+        entry.node?.applyUpdate(update);
       });
     }
   }
 
   /** Sends the termination notice of an upstream. */
-  leave(name: string): void {
+  sendTerminationNotice(name: string): void {
     this.announcers.get(name)?.sendTerminationNotice();
   }
 
   hostOf(name: string): host.Host {
-    const found = this.net.hosts.get(name);
+    const found = this.network.hosts.get(name);
     if (found === undefined) {
-      throw new Error(`Unknown host ${name}; known hosts: ${[...this.net.hosts.keys()].join(', ')}.`);
+      throw new Error(`Unknown host ${name}; known hosts: ${[...this.network.hosts.keys()].join(', ')}.`);
     }
     return found;
   }
@@ -351,9 +351,9 @@
 
   /** Cuts the links of a host to all other hosts. */
   isolate(name: string): void {
-    for (const other of this.net.hosts.keys()) {
+    for (const other of this.network.hosts.keys()) {
       if (other !== name) {
-        this.net.cut(name, other);
+        this.network.cut(name, other);
       }
     }
   }
@@ -377,7 +377,7 @@
   callerEnvironment(): virtualStream.CallerEnvironment {
     return {
       time: this.time,
-      network: this.net,
+      network: this.network,
       entries: () => this.reachableEntries(),
       record: (text) => {
         this.record(text);
--- a/packages/soak/src/backPressure.ts
+++ b/packages/soak/src/backPressure.ts
@@ -9,7 +9,7 @@
 import * as sleep from './sleep.js';
 import type * as stubInstance from './stubInstance.js';
 
-const { headers } = platform.names;
+const { headers } = platform.httpNames;
 
 /** Rate limit that an instance announces, in requests per second. */
 const RATE_LIMIT = 1.5;
--- a/packages/soak/src/clients.ts
+++ b/packages/soak/src/clients.ts
@@ -94,9 +94,9 @@
         agent: this.random.next() < 0.7 ? this.agent : undefined,
         headers: {
           Host: 'soak.example',
-          [platform.names.headers.attempt]: identity,
-          [platform.names.headers.timeLeft]: String(CALL_TIMEOUT_MS),
-          [platform.names.headers.tokens]: '300,160',
+          [platform.httpNames.headers.attempt]: identity,
+          [platform.httpNames.headers.timeLeft]: String(CALL_TIMEOUT_MS),
+          [platform.httpNames.headers.tokens]: '300,160',
           Authorization: 'Token key',
         },
       },
@@ -193,7 +193,7 @@
 
   /** Starts or finishes the evacuation of a data centre; true if the command was acknowledged. */
   async orderDataCentre(dataCentre: string, action: 'begin' | 'finish'): Promise<boolean> {
-    const path = `${platform.names.systemPaths.dataCentres}${dataCentre}/${action}`;
+    const path = `${platform.httpNames.systemPaths.dataCentres}${dataCentre}/${action}`;
     const result = await call(
       { host: this.pickHost(), port: this.port, method: 'POST', path, timeout: 1_500 },
       '',
--- a/packages/soak/src/crashingService.ts
+++ b/packages/soak/src/crashingService.ts
@@ -93,8 +93,8 @@
     const { callerPort, random } = this.options;
     const headers = {
       Host: 'soak.example',
-      [platform.names.headers.attempt]: random.identity(),
-      [platform.names.headers.timeLeft]: '1500',
+      [platform.httpNames.headers.attempt]: random.identity(),
+      [platform.httpNames.headers.timeLeft]: '1500',
       Authorization: 'Token key',
     };
     return clients.call({ host, port: callerPort, path: CRASHING_REQUEST_PATH, headers }, '');
--- a/packages/soak/src/stubInstance.ts
+++ b/packages/soak/src/stubInstance.ts
@@ -8,7 +8,7 @@
 
 import * as invariantChecker from './invariantChecker.js';
 
-const { headers } = platform.names;
+const { headers } = platform.httpNames;
 
 const HEARTBEAT_INTERVAL_MS = 400;
 const EVENT_INTERVAL_MS = 12;
--- a/packages/standIns/src/announcer/announcer.ts
+++ b/packages/standIns/src/announcer/announcer.ts
@@ -9,18 +9,18 @@
   readonly announcement: Omit<kumquatfront.directoryTypes.Announcement, 'sequence' | 'leaving'>;
   readonly timers: kumquatfront.timerService.TimerService;
   readonly random: kumquatfront.ports.Random;
-  readonly announceEvery: number;
-  readonly reportEvery: number;
+  readonly announcementInterval: number;
+  readonly reportInterval: number;
   /** Delay between measuring a load and reporting it. */
   readonly reportLag: number;
   /** Share of cache events that are lost. */
-  readonly cacheLoss: number;
+  readonly cacheEventLossShare: number;
   readonly load: () => { readonly running: number; readonly waiting: number; readonly usedTokens: number };
   readonly cacheChanges: () => { readonly added: readonly string[]; readonly removed: readonly string[] };
   /** Whether the upstream is frozen and sends nothing. */
   readonly isFrozen: () => boolean;
   /** Posts an update to an entry. */
-  readonly post: (update: kumquatfront.directoryTypes.UpstreamNews) => void;
+  readonly post: (update: kumquatfront.directoryTypes.UpstreamUpdate) => void;
 }
 
 /** Announces one upstream. */
@@ -34,7 +34,7 @@
 
   constructor(options: AnnouncerOptions) {
     this.options = options;
-    const { timers, random, announceEvery, reportEvery } = options;
+    const { timers, random, announcementInterval: announceEvery, reportInterval: reportEvery } = options;
     timers.after(0, () => {
       this.announce();
     });
@@ -87,7 +87,7 @@
   }
 
   private reportCache(): void {
-    const { announcement, cacheChanges, random, cacheLoss, post } = this.options;
+    const { announcement, cacheChanges, random, cacheEventLossShare: cacheLoss, post } = this.options;
     const { added, removed } = cacheChanges();
     if (added.length + removed.length === 0) {
       return;
--- a/packages/standIns/src/announcer/httpPoster.ts
+++ b/packages/standIns/src/announcer/httpPoster.ts
@@ -27,7 +27,7 @@
  */
 export function create(
   options: HttpPosterOptions,
-): (update: kumquatfront.directoryTypes.UpstreamNews) => void {
+): (update: kumquatfront.directoryTypes.UpstreamUpdate) => void {
   const agent = new undici.Agent({ connect: { timeout: POST_TIMEOUT } });
   let entries = [...options.entries];
   let currentIndex = Math.floor(options.random.next() * entries.length);
--- a/packages/standIns/src/engine/engineHttp.ts
+++ b/packages/standIns/src/engine/engineHttp.ts
@@ -67,9 +67,9 @@
     if (request.method === 'POST' && url.pathname === '/v1/orders') {
       handleOrder(options.orderReceiver, request, response);
     } else if (request.method === 'GET' && url.pathname === '/v1/orders') {
-      kumquatfront.httpAnswers.sendJson(response, 200, options.orderReceiver.latestReceipt());
+      kumquatfront.httpMessages.sendJson(response, 200, options.orderReceiver.latestReceipt());
     } else if (request.method === 'GET' && url.pathname === '/stand-in/counts') {
-      kumquatfront.httpAnswers.sendJson(response, 200, options.model.counts);
+      kumquatfront.httpMessages.sendJson(response, 200, options.model.counts);
     } else if (request.method === 'POST') {
       startGeneration(options.model, url.pathname, request, response);
     } else if (request.method === 'GET' && generation !== '') {
@@ -88,10 +88,10 @@
   request: http.IncomingMessage,
   response: http.ServerResponse,
 ): void {
-  kumquatfront.httpAnswers.readBody(request, (text) => {
+  kumquatfront.httpMessages.readBody(request, (text) => {
     const order = JSON.parse(text.unwrapOr('{}')) as { fencingNumber: number; target: string };
     const accepted = receiver.accept(order.fencingNumber, order.target);
-    kumquatfront.httpAnswers.sendJson(response, accepted ? 200 : 409, receiver.latestReceipt());
+    kumquatfront.httpMessages.sendJson(response, accepted ? 200 : 409, receiver.latestReceipt());
   });
 }
 
@@ -124,7 +124,7 @@
   request: http.IncomingMessage,
   response: http.ServerResponse,
 ): void {
-  kumquatfront.httpAnswers.readBody(request, (text) => {
+  kumquatfront.httpMessages.readBody(request, (text) => {
     const generation = String(request.headers['x-generation-id']);
     const priority = Number(request.headers['x-priority']);
     const engineRequest = requestParser.parse({ generation, priority, body: text.unwrapOr('{}') });
--- a/packages/standIns/src/engine/engineModel.ts
+++ b/packages/standIns/src/engine/engineModel.ts
@@ -72,7 +72,7 @@
   }
 
   /** Reserves memory for an incoming copy; returns false when there is not enough free memory. */
-  hold(tokens: number): boolean {
+  reserveMemory(tokens: number): boolean {
     if (this.usedTokens + tokens > this.options.memoryTokens) {
       return false;
     }
@@ -81,7 +81,7 @@
   }
 
   /** Releases reserved memory. */
-  release(tokens: number): void {
+  releaseMemory(tokens: number): void {
     this.usedTokens -= tokens;
     this.scheduleStep();
   }
--- a/packages/standIns/src/engine/requestParser.ts
+++ b/packages/standIns/src/engine/requestParser.ts
@@ -19,10 +19,10 @@
  * ```
  */
 export function parse(
-  order: Pick<kumquatfront.streamTypes.GenerationOrder, 'generation' | 'priority' | 'body'>,
+  order: Pick<kumquatfront.streamTypes.EngineRequest, 'generation' | 'priority' | 'body'>,
 ): types.EngineRequest {
   const body = JSON.parse(order.body) as Record<string, unknown>;
-  const promptAttributes = kumquatfront.promptFacts.read(body) ?? { tokens: 1, prefix: '' };
+  const promptAttributes = kumquatfront.promptAttributes.fromBody(body) ?? { tokens: 1, prefix: '' };
   const requestedOutput = body.stand_in_output_tokens ?? body.max_completion_tokens ?? body.max_tokens;
   return {
     generation: order.generation,
--- a/packages/standIns/src/service/serviceHttp.ts
+++ b/packages/standIns/src/service/serviceHttp.ts
@@ -20,11 +20,11 @@
 export function createServer(model: serviceModel.ServiceModel): http.Server {
   return http.createServer((request, response) => {
     if (request.url === '/stand-in/runs') {
-      kumquatfront.httpAnswers.sendJson(response, 200, Object.fromEntries(model.runCounts));
+      kumquatfront.httpMessages.sendJson(response, 200, Object.fromEntries(model.runCounts));
       return;
     }
-    kumquatfront.httpAnswers.readBody(request, () => {
-      const key = kumquatfront.httpAnswers.header(request, 'idempotency-key') ?? '';
+    kumquatfront.httpMessages.readBody(request, () => {
+      const key = kumquatfront.httpMessages.header(request, 'idempotency-key') ?? '';
       const body = model.run(request.method ?? 'GET', request.url ?? '/', key);
       response.writeHead(200, { 'content-type': 'application/json' });
       response.end(body);
