--- a/packages/kumquatfront/src/adapters/boundedOutput.ts
+++ b/packages/kumquatfront/src/adapters/boundedOutput.ts
@@ -80,7 +80,7 @@
     return true;
   }
 
-  /** Queues a line for writing, or drops and counts it where it exceeds the bounds. */
+  /** Queues a line for writing, or drops and counts it if it exceeds the bounds. */
   write(line: string, priority: LinePriority): void {
     if (!this.mayWrite(line, priority)) {
       this.droppedLines += 1;
--- a/packages/kumquatfront/src/adapters/connectionCheck.ts
+++ b/packages/kumquatfront/src/adapters/connectionCheck.ts
@@ -6,7 +6,7 @@
 import type * as ports from '../kernel/ports.js';
 import type * as relayTypes from '../relay/types.js';
 
-/** The result is `unknown` where the connection is neither accepted nor refused within this time. */
+/** The result is `unknown` if the connection is neither accepted nor refused within this time. */
 const CHECK_TIMEOUT: ports.Milliseconds = 400;
 
 /**
@@ -14,7 +14,7 @@
  *
  * @param address - `ip:port`
  * @param scheduler - runs the timeout
- * @param done - called once; `refused` only where the connection was actively refused
+ * @param done - called once; `refused` only if the connection was actively refused
  * @example
  * ```ts
  * connectionCheck.run('10.1.0.7:8080', scheduler, (result) => log.info('checked', { result }));
--- a/packages/kumquatfront/src/adapters/controlHttp.ts
+++ b/packages/kumquatfront/src/adapters/controlHttp.ts
@@ -149,7 +149,7 @@
   });
 }
 
-/** Forwards a call to the leader where this replica answered `notLeader`; otherwise returns its own result. */
+/** Forwards a call to the leader if this replica answered `notLeader`; otherwise returns its own result. */
 function forwardToLeader(
   options: ControlHttpOptions,
   method: string,
--- a/packages/kumquatfront/src/adapters/entryHttp.ts
+++ b/packages/kumquatfront/src/adapters/entryHttp.ts
@@ -121,7 +121,7 @@
       return;
     }
     const streaming = body.val.stream === true;
-    const answer = streaming
+    const caller = streaming
       ? new generationResponses.EventStreamResponse(response)
       : new generationResponses.BufferedJsonResponse(response, path);
     const handle = entry.requests.generate(
@@ -132,7 +132,7 @@
         body: body.val,
         acceptsRestart: !streaming || httpMessages.header(request, 'kumquatfront-accept') === 'restart',
       },
-      answer,
+      caller,
     );
     attachStreamHandle(response, handle);
   });
@@ -153,7 +153,7 @@
   request: http.IncomingMessage,
   response: http.ServerResponse,
 ): void {
-  const answer = new generationResponses.EventStreamResponse(response);
+  const caller = new generationResponses.EventStreamResponse(response);
   const handle = entry.requests.resume(
     {
       bearerKey: httpMessages.bearerKey(request),
@@ -161,7 +161,7 @@
       requestId: REQUEST_PATH.exec(url.pathname)?.[1] ?? '',
       token: httpMessages.header(request, 'last-event-id') ?? '',
     },
-    answer,
+    caller,
   );
   attachStreamHandle(response, handle);
 }
--- a/packages/kumquatfront/src/adapters/fileDisk.ts
+++ b/packages/kumquatfront/src/adapters/fileDisk.ts
@@ -12,8 +12,8 @@
 /** Called each time a write fails because the disk is full; the write is retried until it succeeds. */
 export type OnDiskFull = (file: string) => void;
 
-/** Delay before a write that failed on a full disk is retried. */
-const FULL_DISK_RETRY_DELAY_MS = 250;
+/** Delay before a write that failed on a full disk is retried, in milliseconds. */
+const FULL_DISK_RETRY_DELAY = 250;
 
 const FULL_DISK_CODES: ReadonlySet<string | undefined> = new Set(['ENOSPC', 'EDQUOT']);
 
@@ -89,7 +89,7 @@
           throw error;
         }
         this.onFull(file);
-        await new Promise((resolve) => setTimeout(resolve, FULL_DISK_RETRY_DELAY_MS));
+        await new Promise((resolve) => setTimeout(resolve, FULL_DISK_RETRY_DELAY));
       }
     }
   }
@@ -154,7 +154,7 @@
 }
 
 /**
- * Opens a data folder and creates it where it does not exist.
+ * Opens a data folder and creates it if it does not exist.
  *
  * @param folder - path of the folder
  * @param onFailure - called when a write or sync fails; the process should exit, since it could otherwise
--- a/packages/kumquatfront/src/adapters/httpMessages.ts
+++ b/packages/kumquatfront/src/adapters/httpMessages.ts
@@ -187,7 +187,7 @@
  * Returns the bearer key of a request.
  *
  * @param request - the request
- * @returns the key, or an empty string where there is none
+ * @returns the key, or an empty string if there is none
  * @example
  * ```ts
  * const key = httpMessages.bearerKey(request);
@@ -203,7 +203,7 @@
  *
  * @param request - the request
  * @param name - header name in lower case
- * @returns the first value, or undefined where the header is missing
+ * @returns the first value, or undefined if the header is missing
  * @example
  * ```ts
  * httpMessages.header(request, 'idempotency-key');
--- a/packages/kumquatfront/src/adapters/jsonRpcTransport.ts
+++ b/packages/kumquatfront/src/adapters/jsonRpcTransport.ts
@@ -251,7 +251,7 @@
       } else if (this.authenticate(line, serverNonce, lines)) {
         authenticated = true;
       } else {
-        // Closes the connection without a response where the first line is not a valid proof.
+        // Closes the connection without a response if the first line is not a valid proof.
         this.options.log.warn('strangerRefused', { address: socket.remoteAddress });
         socket.destroy();
       }
--- a/packages/kumquatfront/src/adapters/lineSocket.ts
+++ b/packages/kumquatfront/src/adapters/lineSocket.ts
@@ -41,7 +41,7 @@
    * Sends a line.
    *
    * @param line - the line without its line terminator
-   * @returns false where the connection is closed or too much data is unsent, which bounds the memory used for a
+   * @returns false if the connection is closed or too much data is unsent, which bounds the memory used for a
    * peer that does not read
    */
   send(line: string): boolean {
--- a/packages/kumquatfront/src/adapters/peerAuthentication.ts
+++ b/packages/kumquatfront/src/adapters/peerAuthentication.ts
@@ -42,7 +42,7 @@
  *
  * @param left - the first secret
  * @param right - the second secret
- * @returns true where they are equal
+ * @returns true if they are equal
  * @example
  * ```ts
  * peerAuthentication.timingSafeEqual(received, expected);
--- a/packages/kumquatfront/src/adapters/prometheusMetrics.ts
+++ b/packages/kumquatfront/src/adapters/prometheusMetrics.ts
@@ -7,7 +7,7 @@
 import type * as ports from '../kernel/ports.js';
 
 /** Bucket bounds of the duration histograms, in milliseconds. */
-const BUCKETS_MS = [1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000, 10_000, 20_000, 60_000];
+const BUCKET_BOUNDS = [1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000, 10_000, 20_000, 60_000];
 
 const PREFIX = 'kumquatfront_';
 
@@ -81,7 +81,7 @@
         histograms,
         name,
         tags,
-        (options) => new promClient.Histogram({ ...options, buckets: BUCKETS_MS }),
+        (options) => new promClient.Histogram({ ...options, buckets: BUCKET_BOUNDS }),
       ).observe({ ...tags }, milliseconds);
     },
     contentType: registry.contentType,
--- a/packages/kumquatfront/src/adapters/singleUseConnection.ts
+++ b/packages/kumquatfront/src/adapters/singleUseConnection.ts
@@ -27,7 +27,7 @@
   readonly body: Uint8Array;
 }
 
-/** Receives the events of an exchange; unless it is cancelled, the last one is a single `onEnd` or `onFailed`. */
+/** Receives the events of an exchange; unless it is cancelled, the last one is a single `end` or `failed`. */
 export interface ConnectionListener {
   readonly head: (status: number, headers: readonly relayTypes.Header[]) => void;
   readonly data: (bytes: Uint8Array) => void;
@@ -42,7 +42,7 @@
  * without a length would be taken as complete. A write of zero bytes exposes the error without sending anything.
  *
  * @param socket - the connection, opened with `allowHalfOpen`
- * @returns a function that calls back with true where the connection was reset; call it after the end event
+ * @returns a function that calls back with true if the connection was reset; call it after the end event
  */
 function detectReset(socket: net.Socket): (done: (reset: boolean) => void) => void {
   let wasReset: boolean | undefined;
@@ -118,8 +118,8 @@
   const cancelConnecting = scheduler.after(CONNECT_TIMEOUT, () => {
     fail('notSent', 'the connection was not established in time');
   });
-  let checkReset: (done: (reset: boolean) => void) => void = (end) => {
-    end(false);
+  let checkReset: (done: (reset: boolean) => void) => void = (done) => {
+    done(false);
   };
   outgoing.on('socket', (socket) => {
     checkReset = detectReset(socket);
--- a/packages/kumquatfront/src/adapters/statsdMetrics.ts
+++ b/packages/kumquatfront/src/adapters/statsdMetrics.ts
@@ -5,7 +5,7 @@
 
 import type * as ports from '../kernel/ports.js';
 
-/** Address of the StatsD collector; metrics are discarded where the host is undefined. */
+/** Address of the StatsD collector; metrics are discarded if the host is undefined. */
 export interface MetricsSettings {
   readonly host?: string;
   readonly port?: number;
@@ -25,7 +25,7 @@
  * ```
  */
 export function create(settings: MetricsSettings, process: string): ports.Metrics {
-  // Avoids opening a socket where no collector is configured.
+  // Avoids opening a socket if no collector is configured.
   if (settings.host === undefined) {
     return noop;
   }
--- a/packages/kumquatfront/src/adapters/trafficHttp.ts
+++ b/packages/kumquatfront/src/adapters/trafficHttp.ts
@@ -1,5 +1,5 @@
 /**
- * HTTP server that buffers the requests of callers and hands them to a relay. A decoder interprets the headers of
+ * HTTP server that buffers the requests of callers and passes them to a relay. A decoder interprets the headers of
  * requests and an encoder formats refusals; this module handles HTTP only.
  */
 import * as http from 'node:http';
@@ -188,10 +188,10 @@
     abort: () => {
       outgoing.destroy();
     },
-    onDisconnect: (gone) => {
+    onDisconnect: (callback) => {
       outgoing.on('close', () => {
         if (!outgoing.writableFinished) {
-          gone();
+          callback();
         }
       });
     },
--- a/packages/kumquatfront/src/kernel/failures.ts
+++ b/packages/kumquatfront/src/kernel/failures.ts
@@ -40,7 +40,7 @@
  * @returns the failure
  * @example
  * ```ts
- * failures.create('notLeader', 'This replica follows.', 'Ask the leader.', { leader: '10.0.0.1:7201' });
+ * failures.create('notLeader', 'This replica is not the leader.', 'Send the request to the leader.', { leader: '10.0.0.1:7201' });
  * ```
  */
 export function create(
@@ -59,7 +59,7 @@
  * @returns message, remedy and kind
  * @example
  * ```ts
- * failures.describe(failure); // 'This replica follows. Ask the leader. [notLeader]'
+ * failures.describe(failure); // 'This replica is not the leader. Send the request to the leader. [notLeader]'
  * ```
  */
 export function describe(failure: Failure): string {
--- a/packages/kumquatfront/src/kernel/ports.ts
+++ b/packages/kumquatfront/src/kernel/ports.ts
@@ -53,7 +53,7 @@
  * in the order in which they were requested, also across files.
  */
 export interface Disk {
-  /** Content of a file; undefined where the file does not exist. */
+  /** Content of a file; undefined if the file does not exist. */
   read(file: string): Uint8Array | undefined;
   /** Appends bytes; until `sync` they may be lost or written in part. */
   append(file: string, bytes: Uint8Array): void;
--- a/packages/kumquatfront/src/kernel/serviceRegistry.ts
+++ b/packages/kumquatfront/src/kernel/serviceRegistry.ts
@@ -6,6 +6,7 @@
 /** Registry of services; `Services` maps each name to the type of its service. */
 export interface ServiceRegistry<Services extends object> {
   register<Name extends keyof Services & string>(name: Name, service: Services[Name]): void;
+  /** Returns the service of a name; throws a `FailureError` if none is registered. */
   find<Name extends keyof Services & string>(name: Name): Services[Name];
   names(): readonly string[];
 }
--- a/packages/kumquatfront/src/relay/bufferedExchange.ts
+++ b/packages/kumquatfront/src/relay/bufferedExchange.ts
@@ -156,8 +156,8 @@
     if (head.load !== undefined) {
       balancer.recordReportedLoad(instance.identity, head.load, timers.now());
     }
-    const verdict = responseClassification.classify(head, this.isIdempotent);
-    if (verdict === 'notRun') {
+    const responseClass = responseClassification.classify(head, this.isIdempotent);
+    if (responseClass === 'notRun') {
       this.possibleRuns -= 1;
       log.info('attemptNotRun', {
         request: this.routed.request.identity,
@@ -168,7 +168,7 @@
       this.retryOrFinish('notRun');
       return;
     }
-    if (verdict === 'garbled') {
+    if (responseClass === 'garbled') {
       balancer.recordFailure(instance.identity, 'failure', timers.now());
       this.retryOrFinish('garbled');
       return;
--- a/packages/kumquatfront/src/relay/exchangeContext.ts
+++ b/packages/kumquatfront/src/relay/exchangeContext.ts
@@ -21,7 +21,7 @@
   readonly metrics: ports.Metrics;
   readonly upstreams: types.UpstreamPort;
   readonly instances: instanceView.InstanceView;
-  /** Decide which upstreams are temporarily excluded. */
+  /** Decides which upstreams are temporarily excluded. */
   readonly rules: sendPolicy.SendPolicy;
   readonly balancer: localBalancer.LocalBalancer;
   readonly retryBudget: serviceRetryBudget.ServiceRetryBudget;
@@ -75,7 +75,7 @@
  * @returns the ready instances of its service in the permitted data centres
  * @example
  * ```ts
- * const instance = context.choice.choose(exchangeContext.candidatesOf(context, routed), tried, now);
+ * const instance = context.balancer.choose(exchangeContext.candidatesOf(context, routed), tried, now);
  * ```
  */
 export function candidatesOf(
@@ -153,7 +153,7 @@
  * @returns a function that removes the callback
  * @example
  * ```ts
- * const cancel = exchangeContext.onQuarantined(context, routed, () => refuse());
+ * const cancel = exchangeContext.whenQuarantined(context, routed, () => refuse());
  * ```
  */
 export function whenQuarantined(
--- a/packages/kumquatfront/src/relay/idleTimeout.ts
+++ b/packages/kumquatfront/src/relay/idleTimeout.ts
@@ -21,7 +21,7 @@
  * @returns the timeout in milliseconds
  * @example
  * ```ts
- * timers.after(silencePatience.of(route, false), seekAnother);
+ * timers.after(idleTimeout.forRoute(route, false), selectReplacement);
  * ```
  */
 export function forRoute(route: trafficTypes.Route, started: boolean): ports.Milliseconds {
--- a/packages/kumquatfront/src/relay/localBalancer.ts
+++ b/packages/kumquatfront/src/relay/localBalancer.ts
@@ -74,8 +74,8 @@
   }
 
   /** Records a failed request for the passive health check. */
-  recordFailure(identity: string, event: outlierDetector.FailureKind, now: number): void {
-    this.health.recordFailure(identity, event, now);
+  recordFailure(identity: string, kind: outlierDetector.FailureKind, now: number): void {
+    this.health.recordFailure(identity, kind, now);
   }
 
   /** Removes all state of an instance. */
--- a/packages/kumquatfront/src/relay/placementClient.ts
+++ b/packages/kumquatfront/src/relay/placementClient.ts
@@ -147,11 +147,17 @@
         return;
       }
       const elapsed = timers.now() - startedAt;
-      const patience = Math.max(0, request.patience - elapsed);
+      const waitLeft = Math.max(0, request.patience - elapsed);
       const objectiveLeft = request.objectiveLeft - elapsed;
       const { entry, dataCentre } = this.options;
-      const parameters: methods.PlaceRequest = { ...request, entry, dataCentre, patience, objectiveLeft };
-      peers.request(coordinator, methods.methods.place, parameters, patience + 500, (result) => {
+      const parameters: methods.PlaceRequest = {
+        ...request,
+        entry,
+        dataCentre,
+        patience: waitLeft,
+        objectiveLeft,
+      };
+      peers.request(coordinator, methods.methods.place, parameters, waitLeft + 500, (result) => {
         if (settled || attempt !== latestAttempt) {
           return;
         }
@@ -227,13 +233,13 @@
     const { peers, timers, entry, peerAddress, coordinator, instances } = this.options;
     const coordinatorAddress = coordinator();
     const generations: placementTypes.RunningGeneration[] = [];
-    const leaving = new Set<string>();
+    const drainingInstances = new Set<string>();
     for (const generation of this.openGenerations.values()) {
       const running = generation.describe();
       if (running !== undefined) {
         generations.push(running);
         if (generation.isUpstreamDraining()) {
-          leaving.add(running.instance);
+          drainingInstances.add(running.instance);
         }
       }
     }
@@ -253,7 +259,7 @@
       sequence: this.sequence,
       generations,
       finished,
-      leaving: [...leaving],
+      leaving: [...drainingInstances],
       unlisted: instances.unlistedBy(coordinatorAddress, now),
     };
     peers.notify(coordinatorAddress, methods.methods.report, report);
--- a/packages/kumquatfront/src/relay/relayTestHarness.ts
+++ b/packages/kumquatfront/src/relay/relayTestHarness.ts
@@ -77,7 +77,7 @@
   readonly copyRequests: CopyRequest[] = [];
   /** Handles of released memory copies. */
   readonly releasedCopies: string[] = [];
-  /** Placement requests in order. */
+  /** Placement requests that the coordinator received, in order. */
   readonly placementRequests: placementTypes.PlacementRequest[] = [];
   /** Refusals that the caller received. */
   readonly refusals: types.Refusal[] = [];
@@ -240,7 +240,7 @@
     kind: trafficTypes.CallKind,
     changes: Partial<trafficTypes.Route> = {},
   ): exchangeContext.RoutedRequest {
-    const { callerEvents: got } = this;
+    const { callerEvents } = this;
     return {
       request: {
         identity: 'r',
@@ -254,23 +254,23 @@
       },
       caller: {
         refuse: (refusal) => {
-          got.push(`refused ${refusal.reason}`);
+          callerEvents.push(`refused ${refusal.reason}`);
           this.refusals.push(refusal);
         },
         respond: (head, body) => {
-          got.push(`whole ${head.status} ${Buffer.from(body).toString()}`);
+          callerEvents.push(`whole ${head.status} ${Buffer.from(body).toString()}`);
         },
         begin: () => {
-          got.push('begin');
+          callerEvents.push('begin');
         },
         write: (bytes) => {
-          got.push(/id: (\d+)/.exec(Buffer.from(bytes).toString())?.[1] ?? 'bytes');
+          callerEvents.push(/id: (\d+)/.exec(Buffer.from(bytes).toString())?.[1] ?? 'bytes');
         },
         end: () => {
-          got.push('end');
+          callerEvents.push('end');
         },
         abort: () => {
-          got.push('abort');
+          callerEvents.push('abort');
         },
         onDisconnect: (callback) => {
           this.notifyCallerGone = callback;
--- a/packages/kumquatfront/src/relay/responseClassification.ts
+++ b/packages/kumquatfront/src/relay/responseClassification.ts
@@ -26,7 +26,7 @@
  * @returns the class of the response
  * @example
  * ```ts
- * if (answerRules.judge(head, false) === 'notRun') tryAnother();
+ * if (responseClassification.classify(head, false) === 'notRun') sendNext();
  * ```
  */
 export function classify(head: types.ResponseHead, repeatable: boolean): ResponseClass {
--- a/packages/kumquatfront/src/relay/streamExchange.ts
+++ b/packages/kumquatfront/src/relay/streamExchange.ts
@@ -61,8 +61,8 @@
       upstreams: context.upstreams,
       timers: context.timers,
       log: context.log,
-      resumeFrom: (next) => {
-        this.resumeFromCopy(next);
+      resumeFrom: (resumePoint) => {
+        this.resumeFromCopy(resumePoint);
       },
     });
   }
@@ -111,8 +111,13 @@
     if (this.active === undefined || this.attributes === undefined) {
       return undefined;
     }
-    const { produced, attributes: facts, active: segment } = this;
-    return { facts, instance: segment.instance.identity, produced, started: segment.eventCount > 0 };
+    const { produced, attributes, active: segment } = this;
+    return {
+      facts: attributes,
+      instance: segment.instance.identity,
+      produced,
+      started: segment.eventCount > 0,
+    };
   }
 
   /** True if the current upstream has sent a termination notice. */
@@ -203,14 +208,14 @@
       event: (event) => {
         this.onEvent(segment, event);
       },
-      completed: (rest) => {
+      completed: (remainder) => {
         this.onClose(() => {
-          this.onEnd(segment, rest);
+          this.onEnd(segment, remainder);
         });
       },
-      errorReceived: (failure) => {
+      errorReceived: (errorResponse) => {
         this.onClose(() => {
-          this.onErrorResponse(segment, failure);
+          this.onErrorResponse(segment, errorResponse);
         });
       },
       notRun: () => {
@@ -292,9 +297,12 @@
     this.finish({ outcome: 'answered', upstream: segment.instance.identity });
   }
 
-  private onErrorResponse(segment: streamSegment.StreamSegment, response: streamSegment.ErrorResponse): void {
+  private onErrorResponse(
+    segment: streamSegment.StreamSegment,
+    errorResponse: streamSegment.ErrorResponse,
+  ): void {
     const { balancer, timers } = this.context;
-    const { head, body } = response;
+    const { head, body } = errorResponse;
     const { identity } = segment.instance;
     this.closeSegment(segment);
     balancer.recordFailure(identity, 'failure', timers.now());
@@ -418,7 +426,7 @@
     }
   }
 
-  /** True if the target is temporarily excluded; checked before the source stops, since an unsent copy loses the run. */
+  /** True if the target is temporarily excluded; checked before the source stops, since its run would be lost. */
   private isExcluded(target: instanceView.Instance): boolean {
     const { rules, timers } = this.context;
     return rules.exclusionOf(target, timers.now()) !== undefined;
@@ -487,9 +495,9 @@
       this.closeSegment(this.active);
     }
     if (this.attributes !== undefined) {
-      const { attributes: facts, produced } = this;
+      const { attributes, produced } = this;
       const finished =
-        outcome.outcome === 'answered' && this.delivery.started ? { facts, produced } : undefined;
+        outcome.outcome === 'answered' && this.delivery.started ? { facts: attributes, produced } : undefined;
       this.context.placement.removeGeneration(this.routed.request.identity, finished);
     }
     exchangeContext.logRequestEnd(this.context, this.routed, {
--- a/packages/kumquatfront/src/relay/streamLogSummary.ts
+++ b/packages/kumquatfront/src/relay/streamLogSummary.ts
@@ -35,12 +35,12 @@
   delivery: streamDelivery.StreamDelivery,
   counts: StreamCounts,
 ): ports.LogFields {
-  const { callerTimeout: patience, arrivedAt } = routed.request;
+  const { callerTimeout, arrivedAt } = routed.request;
   const { produced, sends, moves } = counts;
   const { lastEvent, firstEventAt } = delivery;
   return {
     rank: attributes?.rank,
-    patience,
+    patience: callerTimeout,
     promptTokens: attributes?.promptTokens,
     outputLimit: attributes?.outputLimit,
     lengthHint: attributes?.lengthHint,
--- a/packages/kumquatfront/src/relay/streamMove.ts
+++ b/packages/kumquatfront/src/relay/streamMove.ts
@@ -25,7 +25,7 @@
   readonly timers: timerService.TimerService;
   readonly log: ports.Log;
   /** Closes the source's segment and resumes from a copy. */
-  readonly resumeFrom: (next: ResumePoint) => void;
+  readonly resumeFrom: (resumePoint: ResumePoint) => void;
 }
 
 type MoveDone = (outcome: placementTypes.MoveOutcome) => void;
@@ -86,7 +86,7 @@
     return false;
   }
 
-  /** Takes the first copy for a stream whose source failed before the final copy; undefined if there is none. */
+  /** Ends the move and returns its first copy, for a source that failed before the final copy; undefined if none. */
   takeFirstCopy(): ResumePoint | undefined {
     const { active, source } = this;
     if (active?.handle === undefined || source === undefined) {
--- a/packages/kumquatfront/src/relay/streamSegment.ts
+++ b/packages/kumquatfront/src/relay/streamSegment.ts
@@ -19,9 +19,9 @@
   readonly started: (head: types.ResponseHead) => void;
   readonly loadReported: (load: NonNullable<types.ResponseHead['load']>) => void;
   readonly event: (event: eventSplitter.CompleteEvent) => void;
-  /** The stream is complete; `rest` contains the bytes after its last event. */
-  readonly completed: (rest: Uint8Array) => void;
-  readonly errorReceived: (failure: ErrorResponse) => void;
+  /** The stream is complete; `remainder` contains the bytes after its last event. */
+  readonly completed: (remainder: Uint8Array) => void;
+  readonly errorReceived: (errorResponse: ErrorResponse) => void;
   /** The upstream states that it did not run the request. */
   readonly notRun: () => void;
   readonly broken: (failure: types.ExchangeFailure, reason: string) => void;
@@ -101,11 +101,11 @@
     if (head.load !== undefined) {
       listener.loadReported(head.load);
     }
-    const verdict = responseClassification.classify(head, repeatable);
-    if (verdict === 'notRun') {
+    const responseClass = responseClassification.classify(head, repeatable);
+    if (responseClass === 'notRun') {
       this.close();
       listener.notRun();
-    } else if (verdict === 'garbled') {
+    } else if (responseClass === 'garbled') {
       this.close();
       listener.broken('garbled', 'the upstream sent an invalid response to this request');
     } else if (head.status >= 300) {
--- a/packages/kumquatfront/src/relay/types.ts
+++ b/packages/kumquatfront/src/relay/types.ts
@@ -118,7 +118,7 @@
 export interface UpstreamPort {
   readonly send: (call: UpstreamCall, listener: ExchangeListener) => CancelExchange;
   /** Tests whether an address (`ip:port`) accepts connections, without sending data. */
-  readonly check: (address: string, done: (sign: ConnectionCheckResult) => void) => void;
+  readonly check: (address: string, done: (result: ConnectionCheckResult) => void) => void;
   /** Copies a generation's memory; with `stop`, the source stops its run first. */
   readonly copyMemory: (
     source: instanceView.Instance,
--- a/packages/kumquatfront/src/relay/upstreamSelector.ts
+++ b/packages/kumquatfront/src/relay/upstreamSelector.ts
@@ -1,6 +1,6 @@
 /**
- * Selects an upstream for one stream: through the coordinator if the service has engines, otherwise, or if no
- * coordinator responds, with the local load balancer.
+ * Selects an upstream for one stream: through the placement coordinator if the service has engines; with the
+ * local load balancer if it has none or no coordinator responds.
  */
 import type * as instanceView from '../instances/instanceView.js';
 import type * as ports from '../kernel/ports.js';
--- a/packages/kumquatfront/src/streams/completionAggregator.ts
+++ b/packages/kumquatfront/src/streams/completionAggregator.ts
@@ -26,6 +26,7 @@
     this.isChat = path.endsWith('/chat/completions');
   }
 
+  /** Adds a chunk; `data` is the JSON text of its event. */
   addChunk(data: string): void {
     const chunk = JSON.parse(data) as CompletionChunk;
     const choice = chunk.choices?.[0];
--- a/packages/kumquatfront/src/streams/generationRelay.spec.ts
+++ b/packages/kumquatfront/src/streams/generationRelay.spec.ts
@@ -30,7 +30,7 @@
       request: { path: '/v1/completions', body: '{}', priority: 1 },
       mayRestart,
       engines: {
-        start: (_target, order, listener) => open(`start ${order.generation}`)(listener),
+        start: (_target, request, listener) => open(`start ${request.generation}`)(listener),
         resume: (_target, generation, from, listener) => open(`resume ${generation} from ${from}`)(listener),
         cancel: () => undefined,
       },
--- a/packages/kumquatfront/src/streams/generationRelay.ts
+++ b/packages/kumquatfront/src/streams/generationRelay.ts
@@ -1,7 +1,7 @@
 /**
  * Relays the tokens of one request from an engine to its caller, each exactly once and in order. Detects stalled
- * connections, resumes on a new one, and reruns the request on another engine only if the caller cannot
- * receive tokens of two generations as one answer.
+ * connections and resumes on a new one. Reruns the request on another engine only if the caller has received no
+ * tokens or discards them on a restart, so that an answer never mixes tokens of two generations.
  */
 import type * as ports from '../kernel/ports.js';
 import type * as timerService from '../kernel/timerService.js';
@@ -19,6 +19,7 @@
     exclude: ReadonlySet<string>,
     done: (placement: routing.Placement) => void,
   ) => ports.Cancel;
+  /** Returns the prefix of the resume tokens of a generation; see `resumeToken.issuePrefix`. */
   readonly issueToken: (target: types.UpstreamTarget, generation: string) => string;
   readonly mayRetry: () => boolean;
   readonly onProgress: (produced: number) => void;
@@ -59,7 +60,7 @@
   private nextIndex = 0;
   private tokenPrefix = '';
   private connection: types.GenerationConnection | undefined;
-  /** Incremented for every connection, so that events of an earlier connection are recognised as stale. */
+  /** Incremented for every connection, so that events of an earlier connection are recognized as stale. */
   private connectionNumber = 0;
   private resumesWithoutProgress = 0;
   private accepted = false;
@@ -275,7 +276,7 @@
       return;
     }
     // An engine that accepts connections but sends no tokens is overloaded, or the generation is stuck. A
-    // preempted generation continues later, so it is abandoned only after `idleTimeout`.
+    // preempted generation continues later, so it is abandoned only after `silenceLimit`.
     if (this.now() - this.lastProgressAt >= settings.silenceLimit) {
       this.abandonUpstream('stall');
       return;
@@ -323,8 +324,8 @@
     }
     // A partitioned link fails at once; the delay lets a short partition end before the attempts run out.
     this.cancelTimer();
-    const pause = this.options.settings.resumePause * this.resumesWithoutProgress;
-    this.cancelTimer = this.options.timers.after(pause, () => {
+    const delay = this.options.settings.resumePause * this.resumesWithoutProgress;
+    this.cancelTimer = this.options.timers.after(delay, () => {
       this.reconnectWithinLimit();
     });
   }
--- a/packages/kumquatfront/src/streams/serviceRelay.ts
+++ b/packages/kumquatfront/src/streams/serviceRelay.ts
@@ -43,6 +43,7 @@
     this.options = options;
   }
 
+  /** Requests the claim, if the call needs one, and sends the call. */
   start(): void {
     const { claim } = this.options;
     if (claim === undefined) {
--- a/packages/kumquatfront/src/streams/types.ts
+++ b/packages/kumquatfront/src/streams/types.ts
@@ -92,7 +92,7 @@
   refuse(refusal: Refusal): void;
 }
 
-/** Through which the caller's connection controls a running stream. */
+/** Handle through which the caller's connection controls a running stream. */
 export interface StreamHandle {
   /** The caller's connection accepts more tokens. */
   onDrain(): void;
@@ -119,7 +119,10 @@
 }
 
 /** Checks whether an upstream's address accepts connections; sends no data. */
-export type CheckUpstream = (address: string, done: (sign: relayTypes.ConnectionCheckResult) => void) => void;
+export type CheckUpstream = (
+  address: string,
+  done: (result: relayTypes.ConnectionCheckResult) => void,
+) => void;
 
 /** A call to a service that answers without streaming. */
 export interface ServiceCall {
