--- a/packages/kumquatfront/src/adapters/boundedOutput.spec.ts
+++ b/packages/kumquatfront/src/adapters/boundedOutput.spec.ts
@@ -12,8 +12,8 @@
   bounds: Partial<boundedOutput.OutputBounds> = {},
 ): { time: virtualTime.VirtualTime; output: boundedOutput.BoundedOutput } {
   const time = new virtualTime.VirtualTime();
-  const all = { ...boundedOutput.defaultBounds, ...bounds };
-  return { time, output: new boundedOutput.BoundedOutput(time.clock, time, write, all) };
+  const mergedBounds = { ...boundedOutput.defaultBounds, ...bounds };
+  return { time, output: new boundedOutput.BoundedOutput(time.clock, time, write, mergedBounds) };
 }
 
 void test.test('lines are written in order, and lines queued at the same time are written together', () => {
@@ -70,7 +70,7 @@
 });
 
 // A reader that never resumes must not block the process or let its buffer grow without limit.
-void test.test('memory is bounded where the reader stops', () => {
+void test.test('memory is bounded when the reader stops', () => {
   const { time, output } = createOutput(() => undefined, { maximumPendingCharacters: 1_000 });
   for (let count = 0; count < 10_000; count += 1) {
     output.write('x'.repeat(50), 'important');
--- a/packages/kumquatfront/src/adapters/httpUpstreams.spec.ts
+++ b/packages/kumquatfront/src/adapters/httpUpstreams.spec.ts
@@ -93,9 +93,9 @@
       socket.write('x'.repeat(3_000_000));
     }
   });
-  const order = { generation: 'r.1', path: '/v1/completions', body: '{}', priority: 0 };
+  const request = { generation: 'r.1', path: '/v1/completions', body: '{}', priority: 0 };
   const reason = await new Promise<string>((resolve) => {
-    httpUpstreams.createGenerationPort().start(server.target, order, {
+    httpUpstreams.createGenerationPort().start(server.target, request, {
       onAccepted: () => undefined,
       onToken: () => {
         resolve('token');
--- a/packages/kumquatfront/src/adapters/singleUseConnection.spec.ts
+++ b/packages/kumquatfront/src/adapters/singleUseConnection.spec.ts
@@ -52,7 +52,7 @@
 
 // A response without a length ends with its connection, so only a reset shows that the upstream crashed before the
 // response was complete.
-void test.test('a response without a length is incomplete where its connection is reset', async () => {
+void test.test('a response without a length is incomplete when its connection is reset', async () => {
   const outcome = await exchangeWith((socket) => {
     socket.write('HTTP/1.1 200 OK\r\n\r\nhalf of it', () => {
       setTimeout(() => {
@@ -67,7 +67,7 @@
 // As above, but the last bytes and the reset arrive together, in which case Node.js reports an end instead of the
 // reset.
 void test.test(
-  'a response without a length is incomplete where the reset arrives with its last bytes',
+  'a response without a length is incomplete when the reset arrives with its last bytes',
   async () => {
     const outcome = await exchangeWith((socket) => {
       socket.write('HTTP/1.1 200 OK\r\n\r\nhalf of it');
@@ -79,7 +79,7 @@
 );
 
 void test.test(
-  'a response without a length is complete where its connection ends without a reset',
+  'a response without a length is complete when its connection ends without a reset',
   async () => {
     const outcome = await exchangeWith((socket) => {
       socket.end('HTTP/1.1 200 OK\r\n\r\nall of it');
--- a/packages/kumquatfront/src/relay/streamMove.ts
+++ b/packages/kumquatfront/src/relay/streamMove.ts
@@ -86,7 +86,7 @@
     return false;
   }
 
-  /** Ends the move and returns its first copy, for a source that failed before the final copy; undefined if none. */
+  /** Abandons the move of a source that failed before the final copy and returns its first copy; undefined if none. */
   takeFirstCopy(): ResumePoint | undefined {
     const { active, source } = this;
     if (active?.handle === undefined || source === undefined) {
--- a/packages/kumquatfront/src/relay/trafficRelay.ts
+++ b/packages/kumquatfront/src/relay/trafficRelay.ts
@@ -74,7 +74,7 @@
       this.refuse(request, caller, { reason: 'noRoute', message });
       return;
     }
-    // A generation may outlast the draining entry; it has not started and can run through another entry.
+    // A generation may outlast a draining entry, so a new one is refused and can be sent to another entry.
     if (this.options.isDraining() && service.engine !== undefined) {
       const message = 'this entry is draining before it stops';
       this.refuse(request, caller, { reason: 'draining', message, retryAfter: DRAINING_RETRY_DELAY });
--- a/packages/kumquatfront/src/streams/types.ts
+++ b/packages/kumquatfront/src/streams/types.ts
@@ -68,7 +68,7 @@
  */
 export type RefusalKind = 'notRun' | 'outcomeUnknown' | 'interrupted' | 'invalid';
 
-/** Why a request failed, with when and where to retry. */
+/** Why a request failed, and when and where to retry. */
 export interface Refusal {
   readonly kind: RefusalKind;
   readonly status: number;
