--- a/packages/kumquatfront/src/admission/coordinatedPlacement.ts
+++ b/packages/kumquatfront/src/admission/coordinatedPlacement.ts
@@ -268,12 +268,12 @@
     this.local.onProgress(requestId, produced);
   }
 
-  onFinished(requestId: string, produced: number, whole: boolean): void {
+  onFinished(requestId: string, produced: number, completed: boolean): void {
     const running = this.running.get(requestId);
     this.running.delete(requestId);
-    this.local.onFinished(requestId, produced, whole);
+    this.local.onFinished(requestId, produced, completed);
     if (running !== undefined) {
-      this.reportFinished(this.coordinatorOf(running.request), { requestId, produced, whole });
+      this.reportFinished(this.coordinatorOf(running.request), { requestId, produced, whole: completed });
     }
   }
 
--- a/packages/kumquatfront/src/admission/coordinationMessages.ts
+++ b/packages/kumquatfront/src/admission/coordinationMessages.ts
@@ -55,5 +55,6 @@
 export interface FinishNotification {
   readonly requestId: string;
   readonly produced: number;
+  /** True if the generation ran to completion. */
   readonly whole: boolean;
 }
--- a/packages/kumquatfront/src/admission/fairQueue.spec.ts
+++ b/packages/kumquatfront/src/admission/fairQueue.spec.ts
@@ -10,8 +10,8 @@
   return new fairQueue.FairQueue<number>(() => ({ perAccount: 100, total: 250 }), weightOf);
 }
 
-function push(queue: fairQueue.FairQueue<number>, account: string, cost: number, since = 0): boolean {
-  return queue.push({ account, cost, enqueuedAt: since, value: cost });
+function push(queue: fairQueue.FairQueue<number>, account: string, cost: number, enqueuedAt = 0): boolean {
+  return queue.push({ account, cost, enqueuedAt, value: cost });
 }
 
 function serve(queue: fairQueue.FairQueue<number>, count: number, now = 0): readonly string[] {
--- a/packages/kumquatfront/src/admission/fairQueue.ts
+++ b/packages/kumquatfront/src/admission/fairQueue.ts
@@ -33,7 +33,7 @@
  * @example
  * ```ts
  * const queue = new fairQueue.FairQueue<Request>(() => ({ perAccount: 100, total: 400 }), () => 1);
- * queue.push({ account: 'school-1', cost: 1800, since: 0, value: request });
+ * queue.push({ account: 'school-1', cost: 1800, enqueuedAt: 0, value: request });
  * queue.peek(0)?.value;
  * ```
  */
--- a/packages/kumquatfront/src/admission/headroom.ts
+++ b/packages/kumquatfront/src/admission/headroom.ts
@@ -82,7 +82,7 @@
   readonly generationCount: number;
   readonly createdAt: number;
   readonly dispatchesVersion: number;
-  readonly loadAt: number;
+  readonly loadReportedAt: number;
 }
 
 /** Milliseconds for which a forecast is reused while the dispatches to the engine are unchanged. */
@@ -101,7 +101,7 @@
     const dispatchesVersion = context.dispatches.versionOf(name);
     const cached = this.cache.get(name);
     const isCurrent =
-      cached?.dispatchesVersion === dispatchesVersion && cached.loadAt === upstream.loadReportedAt;
+      cached?.dispatchesVersion === dispatchesVersion && cached.loadReportedAt === upstream.loadReportedAt;
     if (cached !== undefined && isCurrent && context.now - cached.createdAt < CACHE_TTL) {
       return cached;
     }
@@ -115,7 +115,7 @@
       generationCount: items.length,
       createdAt: context.now,
       dispatchesVersion,
-      loadAt: upstream.loadReportedAt,
+      loadReportedAt: upstream.loadReportedAt,
     };
     this.cache.set(name, created);
     return created;
--- a/packages/kumquatfront/src/admission/localPlacement.ts
+++ b/packages/kumquatfront/src/admission/localPlacement.ts
@@ -256,12 +256,12 @@
     return rotated.slice(0, MAXIMUM_SAMPLED_ENGINES);
   }
 
-  private grant(waiting: QueuedRequest, upstream: upstreamTable.UpstreamRecord): void {
+  private grant(queued: QueuedRequest, upstream: upstreamTable.UpstreamRecord): void {
     const now = this.options.timers.now();
     const { name } = upstream.announcement;
-    this.dispatches.recordDispatch(waiting.request, name, now);
+    this.dispatches.recordDispatch(queued.request, name, now);
     this.options.outlierDetector.recordDispatch(name, now);
-    waiting.done({ type: 'granted', upstream });
+    queued.done({ type: 'granted', upstream });
   }
 
   private candidates(request: types.PlacementRequest): readonly upstreamTable.UpstreamRecord[] {
@@ -276,12 +276,12 @@
   }
 
   private context(): balancingPolicy.BalancingContext {
-    const { directory: upstreams, outlierDetector: health, random, timers } = this.options;
+    const { directory: upstreams, outlierDetector: detector, random, timers } = this.options;
     return {
       now: timers.now(),
       table: upstreams.table,
       dispatches: this.dispatches,
-      outlierDetector: health,
+      outlierDetector: detector,
       random,
     };
   }
@@ -290,9 +290,9 @@
     this.dispatches.recordProgress(requestId, produced, this.options.timers.now());
   }
 
-  onFinished(requestId: string, produced: number, whole: boolean): void {
+  onFinished(requestId: string, produced: number, completed: boolean): void {
     const dispatch = this.dispatches.remove(requestId);
-    if (dispatch !== undefined && whole && produced > 0) {
+    if (dispatch !== undefined && completed && produced > 0) {
       this.options.estimator.observe(dispatch.estimateKeys, produced);
     }
     this.drainQueues();
--- a/packages/kumquatfront/src/admission/memoryForecast.spec.ts
+++ b/packages/kumquatfront/src/admission/memoryForecast.spec.ts
@@ -51,15 +51,17 @@
 // Surviving generations add their growth to the peak, ending ones release their memory; more deviations raise the
 // peak of uncertain ones.
 void test.test('the peak increases with surviving generations and with the number of deviations', () => {
-  const forever = { heldTokens: 100, survival: memoryForecast.HORIZONS.map(() => 1) };
+  const surviving = { heldTokens: 100, survival: memoryForecast.HORIZONS.map(() => 1) };
   const ending = { heldTokens: 100, survival: memoryForecast.HORIZONS.map((steps) => (steps === 0 ? 1 : 0)) };
-  const unsure = {
+  const uncertain = {
     heldTokens: 100,
     survival: memoryForecast.HORIZONS.map((steps) => (steps === 0 ? 1 : 0.5)),
   };
   const longest = memoryForecast.HORIZONS.at(-1) ?? 0;
-  assert.equal(memoryForecast.peakWith(memoryForecast.forGenerations([]), forever, 3), 100 + longest);
+  assert.equal(memoryForecast.peakWith(memoryForecast.forGenerations([]), surviving, 3), 100 + longest);
   assert.equal(memoryForecast.peakWith(memoryForecast.forGenerations([ending]), ending, 3), 200);
-  const calm = memoryForecast.peakWith(memoryForecast.forGenerations([unsure]), unsure, 0);
-  assert.ok(memoryForecast.peakWith(memoryForecast.forGenerations([unsure]), unsure, 2) > calm);
+  const withoutMargin = memoryForecast.peakWith(memoryForecast.forGenerations([uncertain]), uncertain, 0);
+  assert.ok(
+    memoryForecast.peakWith(memoryForecast.forGenerations([uncertain]), uncertain, 2) > withoutMargin,
+  );
 });
--- a/packages/kumquatfront/src/backPressure/pausedUpstream.spec.ts
+++ b/packages/kumquatfront/src/backPressure/pausedUpstream.spec.ts
@@ -32,8 +32,8 @@
 
 /** Maximum number of requests that arrive from one entry during a pause requested from that entry. */
 function maximumDuringPause(harness: crashTestHarness.CrashTestHarness, upstream: string): number {
-  const asked = harness.answers.filter(({ head, upstream: from }) => from === upstream && head.notRun);
-  const counts = asked.map(({ entry, at: askedAt }) => {
+  const pauseAnswers = harness.answers.filter(({ head, upstream: from }) => from === upstream && head.notRun);
+  const counts = pauseAnswers.map(({ entry, at: askedAt }) => {
     const within = harness.arrivals.filter(
       (arrival) =>
         arrival.upstream === upstream &&
--- a/packages/kumquatfront/src/backPressure/rateLimitShare.spec.ts
+++ b/packages/kumquatfront/src/backPressure/rateLimitShare.spec.ts
@@ -66,8 +66,8 @@
     [75, 2, 0.35],
     [191, 30, 0.7],
   ] as const) {
-    const ofAll = rateLimitShare.requestsPerWindow(perSecond, entryCount);
-    const used = ofAll / (perSecond * (rateLimitShare.RATE_WINDOW / 1_000));
+    const totalPerWindow = rateLimitShare.requestsPerWindow(perSecond, entryCount);
+    const used = totalPerWindow / (perSecond * (rateLimitShare.RATE_WINDOW / 1_000));
     assert.ok(used >= least && used <= 1, `${entryCount} entries use ${used} of ${perSecond} a second`);
   }
 });
--- a/packages/kumquatfront/src/backPressure/rateLimitShare.ts
+++ b/packages/kumquatfront/src/backPressure/rateLimitShare.ts
@@ -25,9 +25,7 @@
  */
 const MARGIN_DEVIATIONS = 5;
 
-/**
- * Average time between two probes of all entries together, while no entry has a share of the limit.
- */
+/** Average time between two probes of all entries together, while no entry has a share of the limit. */
 const PROBE_SPACING: ports.Milliseconds = 18_000;
 
 /** Upper bound of the requests of all entries, where each rounds its share up or down at random. */
@@ -53,6 +51,7 @@
 export function requestsPerWindow(perSecond: number, entries: number): number {
   const allowed = perSecond * MEASURED_SECONDS;
   const bound = OVERSHOOT * allowed + BURST_ALLOWANCE - PROBE_RESERVE;
+  // Solves mean + MARGIN_DEVIATIONS * sqrt(mean) = bound for the square root of the mean.
   const root = (Math.sqrt(MARGIN_DEVIATIONS ** 2 + 4 * bound) - MARGIN_DEVIATIONS) / 2;
   const means = [allowed, entries * Math.floor(allowed / entries), Math.min(allowed, root ** 2)];
   return Math.max(...means.filter((mean) => maximumTotal(mean, entries) <= bound));
--- a/packages/kumquatfront/src/backPressure/rateLimitedUpstream.spec.ts
+++ b/packages/kumquatfront/src/backPressure/rateLimitedUpstream.spec.ts
@@ -83,10 +83,10 @@
   const harness = new crashTestHarness.CrashTestHarness(75, { llm: 1, app: 4 }, () => 'served');
   harness.generateLoad('app', 100, 3_000);
   harness.headOf = (upstream) => withRateLimit(upstream === 'app-1' ? 2 : 1_000);
-  const namedAt = harness.time.now();
+  const limitedAt = harness.time.now();
   harness.generateLoad('app', 100, 12_000);
   const later = harness.arrivals.filter(
-    ({ upstream, at }) => upstream === 'app-1' && at >= namedAt + ENFORCED_AFTER,
+    ({ upstream, at }) => upstream === 'app-1' && at >= limitedAt + ENFORCED_AFTER,
   );
   assert.ok(maximumInWindow(later) <= allowedBy(2), `${maximumInWindow(later)} in four seconds`);
   assert.ok(later.length > 0, 'the upstream received no requests at all');
--- a/packages/kumquatfront/src/backPressure/sendPolicy.ts
+++ b/packages/kumquatfront/src/backPressure/sendPolicy.ts
@@ -120,10 +120,14 @@
    *
    * @param exclusion - reason and expected end
    * @param now - current time
-   * @param unknown - returned if the end of the exclusion is unknown
+   * @param fallback - returned if the end of the exclusion is unknown
    */
-  retryAfter({ until }: Exclusion, now: ports.Milliseconds, unknown: ports.Milliseconds): ports.Milliseconds {
-    return until === undefined ? unknown : until - now + this.options.random.next() * RETRY_JITTER;
+  retryAfter(
+    { until }: Exclusion,
+    now: ports.Milliseconds,
+    fallback: ports.Milliseconds,
+  ): ports.Milliseconds {
+    return until === undefined ? fallback : until - now + this.options.random.next() * RETRY_JITTER;
   }
 
   /** Counts a request sent to an upstream against its limits. */
@@ -141,7 +145,7 @@
   }
 
   /** Discards the state of an upstream that was removed or has restarted. */
-  forget(identity: string): void {
+  removeUpstream(identity: string): void {
     this.nextProbeAt.delete(identity);
   }
 
@@ -182,15 +186,15 @@
   }
 
   private warmUpExclusionOf(instance: instanceView.Instance, now: ports.Milliseconds): Exclusion | undefined {
-    const { coldShare, warmUpLimitOf: toleratedBy } = this.options;
+    const { coldShare, warmUpLimitOf } = this.options;
     const { identity, coldUntil, service } = instance;
-    const tolerated = now < coldUntil ? toleratedBy(service) : undefined;
-    if (tolerated === undefined || coldShare.maySend(identity, tolerated, now)) {
+    const limit = now < coldUntil ? warmUpLimitOf(service) : undefined;
+    if (limit === undefined || coldShare.maySend(identity, limit, now)) {
       return undefined;
     }
     return {
       reason: 'cold',
-      until: Math.min(coldUntil, coldShare.nextSendAt(identity, tolerated, now) ?? coldUntil),
+      until: Math.min(coldUntil, coldShare.nextSendAt(identity, limit, now) ?? coldUntil),
     };
   }
 }
--- a/packages/kumquatfront/src/backPressure/signalRegistry.ts
+++ b/packages/kumquatfront/src/backPressure/signalRegistry.ts
@@ -120,7 +120,7 @@
   onInstanceChange({ instance, event }: instanceView.InstanceChange): void {
     const { identity } = instance;
     if (event === 'replaced') {
-      this.forget(identity);
+      this.discardSignals(identity);
     } else if (event === 'gone') {
       this.goneSince.set(identity, this.options.timers.now());
     } else if (event === 'found') {
@@ -128,7 +128,7 @@
     }
   }
 
-  private forget(identity: string): void {
+  private discardSignals(identity: string): void {
     this.goneSince.delete(identity);
     this.pauses.delete(identity);
     this.rateLimits.delete(identity);
@@ -204,7 +204,7 @@
     }
     for (const [identity, since] of this.goneSince) {
       if (timers.now() - since >= GONE_RETENTION) {
-        this.forget(identity);
+        this.discardSignals(identity);
       }
     }
     const limited = [...this.rateLimits.values()].filter(({ perSecond }) => perSecond !== undefined);
--- a/packages/kumquatfront/src/estimates/lengthEstimator.ts
+++ b/packages/kumquatfront/src/estimates/lengthEstimator.ts
@@ -3,7 +3,7 @@
  * with too few observations falls back to less specific keys and finally to a prior.
  */
 
-/** Keys from the most to the least specific, such as account, model and traffic. */
+/** Keys from the most to the least specific, such as account with model, then model alone. */
 export type EstimateKeys = readonly string[];
 
 /** Settings of the estimator. */
--- a/packages/kumquatfront/src/placement/coordinator.spec.ts
+++ b/packages/kumquatfront/src/placement/coordinator.spec.ts
@@ -20,7 +20,7 @@
   'a new coordinator waits for an entry that has not reported, up to the maximum recovery time',
   () => {
     const harness = new coordinatorTestHarness.CoordinatorTestHarness(1, 1);
-    harness.entries = ['e', 'silent'];
+    harness.entries = ['e', 'unresponsive'];
     harness.report();
     harness.requestPlacement('first');
     harness.time.advance(300);
--- a/packages/kumquatfront/src/placement/coordinator.ts
+++ b/packages/kumquatfront/src/placement/coordinator.ts
@@ -305,10 +305,10 @@
 }
 
 function purposeOf(
-  facts: types.GenerationAttributes,
+  attributes: types.GenerationAttributes,
   deadlineStatus: timeliness.Timeliness,
 ): enginePool.Purpose {
-  if (!ranks.isPatient(facts.rank)) {
+  if (!ranks.isPatient(attributes.rank)) {
     return 'urgent';
   }
   return deadlineStatus === 'late' ? 'late' : 'patient';
--- a/packages/kumquatfront/src/placement/coordinatorTestHarness.ts
+++ b/packages/kumquatfront/src/placement/coordinatorTestHarness.ts
@@ -113,18 +113,18 @@
 
   /** Requests a placement; requests with the same fingerprint are retries. */
   requestPlacement(identity: string, fingerprint = identity, rank = 1): void {
-    const facts: types.GenerationAttributes = {
+    const attributes: types.GenerationAttributes = {
       ...{ identity, service: 'llm', promptTokens: PROMPT, outputLimit: 600, lengthHint: 600 },
       ...{ rank, account: '' },
     };
     const patience = waitLimits.maximumWait(OBJECTIVE, 39_000, rank);
     const times = { objective: OBJECTIVE, objectiveLeft: OBJECTIVE, patience };
     this.coordinator.requestPlacement(
-      { facts, entry: ENTRY, dataCentre: 'a', excluded: [], likeness: fingerprint, ...times },
+      { facts: attributes, entry: ENTRY, dataCentre: 'a', excluded: [], likeness: fingerprint, ...times },
       (answer) => {
         this.answers.set(identity, { ...answer, at: this.time.now() });
         if (answer.state === 'placed') {
-          this.running.push({ facts, instance: answer.instance, produced: 0, started: false });
+          this.running.push({ facts: attributes, instance: answer.instance, produced: 0, started: false });
         }
       },
     );
--- a/packages/kumquatfront/src/placement/enginePool.spec.ts
+++ b/packages/kumquatfront/src/placement/enginePool.spec.ts
@@ -9,7 +9,7 @@
 
 const MEMORY_TOKENS = 20_000;
 
-function factsOf(identity: string, promptTokens: number): types.GenerationAttributes {
+function attributesOf(identity: string, promptTokens: number): types.GenerationAttributes {
   return {
     ...{ identity, service: 'llm', promptTokens, outputLimit: 10, lengthHint: 10, rank: 1, account: '' },
   };
@@ -28,7 +28,7 @@
     { ...base, identity: 'second' },
   ]);
   const running = (identity: string, tokens: number): types.RunningGeneration => ({
-    ...{ facts: factsOf(identity, tokens), instance: identity, produced: 0, started: true },
+    ...{ facts: attributesOf(identity, tokens), instance: identity, produced: 0, started: true },
   });
   pool.applyReport(
     {
@@ -41,9 +41,9 @@
 }
 
 function selectEngine(pool: enginePool.EnginePool, promptTokens: number): string | undefined {
-  const facts = factsOf('new', promptTokens);
+  const attributes = attributesOf('new', promptTokens);
   const query = {
-    facts,
+    facts: attributes,
     produced: 0,
     purpose: 'patient',
     dataCentre: 'b',
--- a/packages/kumquatfront/src/placement/evacuation.spec.ts
+++ b/packages/kumquatfront/src/placement/evacuation.spec.ts
@@ -29,7 +29,7 @@
 }
 
 function running(identity: string, changes: Partial<types.RunningGeneration> = {}): types.RunningGeneration {
-  const facts: types.GenerationAttributes = {
+  const attributes: types.GenerationAttributes = {
     identity,
     service: 'llm',
     promptTokens: 3_000,
@@ -38,7 +38,7 @@
     rank: 1,
     account: '',
   };
-  return { facts, instance: 'a', produced: 100, started: true, ...changes };
+  return { facts: attributes, instance: 'a', produced: 100, started: true, ...changes };
 }
 
 /** Starts moving `generations` off the draining ones of `engines`, and records the move commands. */
--- a/packages/kumquatfront/src/placement/forecast.spec.ts
+++ b/packages/kumquatfront/src/placement/forecast.spec.ts
@@ -10,7 +10,7 @@
 import * as memoryPeak from './memoryPeak.js';
 import type * as types from './types.js';
 
-const facts: types.GenerationAttributes = {
+const attributes: types.GenerationAttributes = {
   identity: 'r',
   service: 'llm',
   promptTokens: 3_000,
@@ -22,18 +22,18 @@
 
 void test.test('without observations the hint is used, up to the output limit', () => {
   const forecast = new lengthForecast.LengthForecast();
-  assert.equal(forecast.totalOutput(facts, 0), 900);
-  assert.equal(forecast.totalOutput({ ...facts, lengthHint: 9_000 }, 0), 2_224);
-  assert.equal(forecast.totalOutput({ ...facts, lengthHint: 0 }, 0), 1_112);
+  assert.equal(forecast.totalOutput(attributes, 0), 900);
+  assert.equal(forecast.totalOutput({ ...attributes, lengthHint: 9_000 }, 0), 2_224);
+  assert.equal(forecast.totalOutput({ ...attributes, lengthHint: 0 }, 0), 1_112);
 });
 
 void test.test('the forecast of a running generation is the mean of longer observations', () => {
   const forecast = new lengthForecast.LengthForecast();
   for (let length = 100; length <= 2_000; length += 100) {
-    forecast.observe(facts, length);
+    forecast.observe(attributes, length);
   }
-  const initial = forecast.totalOutput({ ...facts, lengthHint: 0 }, 0);
-  const later = forecast.totalOutput({ ...facts, lengthHint: 0 }, 1_500);
+  const initial = forecast.totalOutput({ ...attributes, lengthHint: 0 }, 0);
+  const later = forecast.totalOutput({ ...attributes, lengthHint: 0 }, 1_500);
   assert.equal(initial, 1_050);
   assert.equal(later, 1_800);
 });
@@ -41,15 +41,15 @@
 void test.test('a hint shifts the forecast only partially', () => {
   const forecast = new lengthForecast.LengthForecast();
   for (let count = 0; count < 20; count += 1) {
-    forecast.observe(facts, 800);
+    forecast.observe(attributes, 800);
   }
-  const high = forecast.totalOutput({ ...facts, lengthHint: 2_200 }, 0);
+  const high = forecast.totalOutput({ ...attributes, lengthHint: 2_200 }, 0);
   assert.ok(high > 800 && high < 1_500, `forecast ${high}`);
 });
 
 void test.test('a running generation is never forecast as complete', () => {
   const forecast = new lengthForecast.LengthForecast();
-  assert.ok(forecast.remainingOutput({ ...facts, lengthHint: 10 }, 500) > 0);
+  assert.ok(forecast.remainingOutput({ ...attributes, lengthHint: 10 }, 500) > 0);
 });
 
 /** Computes the peak by evaluating every step. */
--- a/packages/kumquatfront/src/placement/lengthForecast.ts
+++ b/packages/kumquatfront/src/placement/lengthForecast.ts
@@ -27,23 +27,23 @@
 export class LengthForecast {
   private readonly samples = new Map<string, number[]>();
 
-  private keyOf(facts: types.GenerationAttributes): string {
-    return `${facts.service} ${facts.rank}`;
+  private keyOf(attributes: types.GenerationAttributes): string {
+    return `${attributes.service} ${attributes.rank}`;
   }
 
   /** Records the output length of a completed generation. */
-  observe(facts: types.GenerationAttributes, output: number): void {
-    const samples = this.samples.get(this.keyOf(facts)) ?? [];
+  observe(attributes: types.GenerationAttributes, output: number): void {
+    const samples = this.samples.get(this.keyOf(attributes)) ?? [];
     samples.push(output);
     if (samples.length > MAXIMUM_SAMPLES) {
       samples.shift();
     }
-    this.samples.set(this.keyOf(facts), samples);
+    this.samples.set(this.keyOf(attributes), samples);
   }
 
   /** Mean of the observed lengths above `produced`; undefined with too few observations. */
-  private observedMean(facts: types.GenerationAttributes, produced: number): number | undefined {
-    const samples = this.samples.get(this.keyOf(facts)) ?? [];
+  private observedMean(attributes: types.GenerationAttributes, produced: number): number | undefined {
+    const samples = this.samples.get(this.keyOf(attributes)) ?? [];
     if (samples.length < MINIMUM_SAMPLES) {
       return undefined;
     }
@@ -59,12 +59,12 @@
    *
    * @example
    * ```ts
-   * forecast.totalOutput(facts, 120);
+   * forecast.totalOutput(attributes, 120);
    * ```
    */
-  totalOutput(facts: types.GenerationAttributes, produced: number): number {
-    const { lengthHint: hint, outputLimit } = facts;
-    const observed = this.observedMean(facts, produced);
+  totalOutput(attributes: types.GenerationAttributes, produced: number): number {
+    const { lengthHint: hint, outputLimit } = attributes;
+    const observed = this.observedMean(attributes, produced);
     const estimate =
       observed === undefined
         ? hint > 0
@@ -78,7 +78,7 @@
   }
 
   /** Expected number of output tokens still to be produced. */
-  remainingOutput(facts: types.GenerationAttributes, produced: number): number {
-    return Math.max(0, this.totalOutput(facts, produced) - produced);
+  remainingOutput(attributes: types.GenerationAttributes, produced: number): number {
+    return Math.max(0, this.totalOutput(attributes, produced) - produced);
   }
 }
--- a/packages/kumquatfront/src/placement/overload.spec.ts
+++ b/packages/kumquatfront/src/placement/overload.spec.ts
@@ -22,10 +22,10 @@
 const OBJECTIVE = 1_800;
 
 interface Run {
-  readonly facts: types.GenerationAttributes;
+  readonly attributes: types.GenerationAttributes;
   readonly length: number;
   readonly instance: string;
-  readonly beganAt: number;
+  readonly startedAt: number;
 }
 
 interface Outcome {
@@ -87,13 +87,13 @@
   let sequence = 0;
 
   const producedBy = (run: Run): number =>
-    Math.min(run.length, Math.floor((time.now() - run.beganAt) / MILLISECONDS_PER_TOKEN));
+    Math.min(run.length, Math.floor((time.now() - run.startedAt) / MILLISECONDS_PER_TOKEN));
   const report = (): void => {
     const held = new Map<string, number>();
     const generations = [...runs.values()].map((run) => {
       const produced = producedBy(run);
-      held.set(run.instance, (held.get(run.instance) ?? 0) + run.facts.promptTokens + produced);
-      return { facts: run.facts, instance: run.instance, produced, started: true };
+      held.set(run.instance, (held.get(run.instance) ?? 0) + run.attributes.promptTokens + produced);
+      return { facts: run.attributes, instance: run.instance, produced, started: true };
     });
     counts.overfilled += [...held.values()].filter((tokens) => tokens > MEMORY).length;
     sequence += 1;
@@ -111,7 +111,7 @@
     const urgent = random.next() < 0.5;
     const normal = Math.sqrt(-2 * Math.log(random.next() + 1e-9)) * Math.cos(2 * Math.PI * random.next());
     const length = urgent ? 12 : Math.max(8, Math.min(2_200, Math.round(700 * Math.exp(0.84 * normal))));
-    const facts: types.GenerationAttributes = {
+    const attributes: types.GenerationAttributes = {
       identity: `g${index}`,
       service: 'llm',
       promptTokens: urgent ? 2_200 : 3_000,
@@ -121,10 +121,17 @@
       account: '',
     };
     const requestedAt = time.now();
-    const patience = waitLimits.maximumWait(OBJECTIVE, 39_000, facts.rank);
+    const patience = waitLimits.maximumWait(OBJECTIVE, 39_000, attributes.rank);
     placementCoordinator.requestPlacement(
       {
-        ...{ facts, entry: 'e', dataCentre: 'a', excluded: [], likeness: facts.identity, patience },
+        ...{
+          facts: attributes,
+          entry: 'e',
+          dataCentre: 'a',
+          excluded: [],
+          likeness: attributes.identity,
+          patience,
+        },
         ...{ objective: OBJECTIVE, objectiveLeft: OBJECTIVE },
       },
       (answer) => {
@@ -134,10 +141,15 @@
           return;
         }
         counts[time.now() - requestedAt <= OBJECTIVE ? 'inTime' : 'late'] += 1;
-        runs.set(facts.identity, { facts, length, instance: answer.instance, beganAt: time.now() });
+        runs.set(attributes.identity, {
+          attributes,
+          length,
+          instance: answer.instance,
+          startedAt: time.now(),
+        });
         time.after(length * MILLISECONDS_PER_TOKEN, () => {
-          runs.delete(facts.identity);
-          finished.push({ facts, produced: length });
+          runs.delete(attributes.identity);
+          finished.push({ facts: attributes, produced: length });
         });
       },
     );
--- a/packages/kumquatfront/src/placement/placementQueue.ts
+++ b/packages/kumquatfront/src/placement/placementQueue.ts
@@ -26,7 +26,7 @@
 /** Forecasts that determine the order of the queue. */
 export interface RequestForecasts {
   /** Forecast output length in tokens. */
-  readonly expectedOutput: (facts: types.GenerationAttributes) => number;
+  readonly expectedOutput: (attributes: types.GenerationAttributes) => number;
   readonly timelinessOf: (
     queued: Pick<QueuedRequest, 'request' | 'since'>,
     now: ports.Milliseconds,
@@ -61,52 +61,52 @@
   }
 
   countForService(service: string): number {
-    return [...this.requests.values()].filter((entry) => entry.request.facts.service === service).length;
+    return [...this.requests.values()].filter((queued) => queued.request.facts.service === service).length;
   }
 
   /** Removes and returns requests that exceeded their maximum wait or became late in the queue. */
   takeExpired(now: number): readonly QueuedRequest[] {
     const expired = [...this.requests.values()].filter(
-      (entry) => now - entry.since >= entry.request.patience || this.becameLateWhileQueued(entry, now),
+      (queued) => now - queued.since >= queued.request.patience || this.becameLateWhileQueued(queued, now),
     );
-    for (const entry of expired) {
-      this.requests.delete(entry.request.facts.identity);
+    for (const queued of expired) {
+      this.requests.delete(queued.request.facts.identity);
     }
     return expired;
   }
 
   /** True if the objective could be met on arrival but no longer can; requests late on arrival keep waiting. */
-  private becameLateWhileQueued(entry: QueuedRequest, now: number): boolean {
+  private becameLateWhileQueued(queued: QueuedRequest, now: number): boolean {
     const { timelinessOf } = this.forecasts;
-    return timelinessOf(entry, now) === 'late' && timelinessOf(entry, entry.since) === 'inTime';
+    return timelinessOf(queued, now) === 'late' && timelinessOf(queued, queued.since) === 'inTime';
   }
 
   private sortedRequests(now: number): readonly QueuedRequest[] {
-    const keyedRequests = [...this.requests.values()].map((entry) => {
-      const waited = now - entry.since;
-      const { facts } = entry.request;
-      const late = this.forecasts.timelinessOf(entry, now) === 'late' ? 1 : 0;
+    const keyedRequests = [...this.requests.values()].map((queued) => {
+      const waited = now - queued.since;
+      const { facts } = queued.request;
+      const late = this.forecasts.timelinessOf(queued, now) === 'late' ? 1 : 0;
       const length = this.forecasts.expectedOutput(facts) - waited * AGING_TOKENS_PER_MILLISECOND;
-      return { entry, late, length, rank: facts.rank };
+      return { queued, late, length, rank: facts.rank };
     });
     keyedRequests.sort(
       (left, right) => left.rank - right.rank || left.late - right.late || left.length - right.length,
     );
-    return keyedRequests.map((key) => key.entry);
+    return keyedRequests.map((key) => key.queued);
   }
 
   /** Attempts to place requests in order; `tryPlace` returns true if one was placed. */
   dispatch(now: number, tryPlace: (queued: QueuedRequest) => boolean): void {
     const blockedServices = new Map<string, number>();
-    for (const entry of this.sortedRequests(now)) {
-      const { service, rank, identity } = entry.request.facts;
+    for (const queued of this.sortedRequests(now)) {
+      const { service, rank, identity } = queued.request.facts;
       const blockingRank = blockedServices.get(service);
       if (blockingRank !== undefined && blockingRank <= rank) {
         continue;
       }
-      if (tryPlace(entry)) {
+      if (tryPlace(queued)) {
         this.requests.delete(identity);
-      } else if (now - entry.since > OVERTAKING_LIMIT) {
+      } else if (now - queued.since > OVERTAKING_LIMIT) {
         blockedServices.set(service, rank);
       }
     }
--- a/packages/kumquatfront/src/placement/ranks.spec.ts
+++ b/packages/kumquatfront/src/placement/ranks.spec.ts
@@ -44,14 +44,14 @@
 // Guards against underestimating long generations, which would overcommit engines and cause preemption.
 void test.test('output lengths are observed separately for each rank', () => {
   const forecast = new lengthForecast.LengthForecast();
-  const factsOf = (rank: number): types.GenerationAttributes => ({
+  const attributesOf = (rank: number): types.GenerationAttributes => ({
     ...{ identity: 'g', service: 'llm', promptTokens: 3_000, outputLimit: 2_000, lengthHint: 0 },
     ...{ rank, account: 'school' },
   });
   for (let count = 0; count < 40; count += 1) {
-    forecast.observe(factsOf(SHORT), 10);
-    forecast.observe(factsOf(LONG), 750);
+    forecast.observe(attributesOf(SHORT), 10);
+    forecast.observe(attributesOf(LONG), 750);
   }
-  assert.equal(forecast.totalOutput(factsOf(SHORT), 0), 10);
-  assert.equal(forecast.totalOutput(factsOf(LONG), 0), 750);
+  assert.equal(forecast.totalOutput(attributesOf(SHORT), 0), 10);
+  assert.equal(forecast.totalOutput(attributesOf(LONG), 0), 750);
 });
--- a/packages/kumquatfront/src/quarantine/crashDetector.spec.ts
+++ b/packages/kumquatfront/src/quarantine/crashDetector.spec.ts
@@ -16,16 +16,16 @@
   readonly time = new virtualTime.VirtualTime();
   readonly crashes: string[] = [];
   readonly instancesDown: string[] = [];
-  sign: relayTypes.ConnectionCheckResult = 'refused';
+  checkResult: relayTypes.ConnectionCheckResult = 'refused';
   isTerminating = false;
   checks = 0;
   readonly detector = new crashDetector.CrashDetector({
     timers: timerService.create(this.time.clock, this.time),
     check: (_address, done) => {
       this.checks += 1;
-      const { sign } = this;
+      const { checkResult } = this;
       this.time.after(2, () => {
-        done(sign);
+        done(checkResult);
       });
     },
     isTerminating: () => this.isTerminating,
@@ -40,7 +40,7 @@
   }
 
   /** Starts and breaks a run of a content on instance `a`. */
-  breakOff(content: string): void {
+  breakRun(content: string): void {
     const run = this.detector.runStarted('a', content, 'r');
     this.detector.runBroken(this.instance(), run, () => undefined);
   }
@@ -53,7 +53,7 @@
 
 void test.test('a broken run is a crash if its instance refuses connections', () => {
   const harness = new Harness();
-  harness.breakOff('x');
+  harness.breakRun('x');
   harness.time.advance(100);
   assert.deepEqual(harness.crashes, ['x a refusesConnections']);
 });
@@ -61,8 +61,8 @@
 // The answer was lost or connections were reset, but the instance still runs.
 void test.test('a broken run is no crash if its instance accepts connections', () => {
   const harness = new Harness();
-  harness.sign = 'accepted';
-  harness.breakOff('x');
+  harness.checkResult = 'accepted';
+  harness.breakRun('x');
   harness.time.advance(100);
   harness.changeInstance('gone');
   assert.deepEqual(harness.crashes, []);
@@ -72,7 +72,7 @@
 void test.test('the exit of an instance after its termination notice is no crash', () => {
   const harness = new Harness();
   harness.isTerminating = true;
-  harness.breakOff('x');
+  harness.breakRun('x');
   harness.detector.runStarted('a', 'y', 'r');
   harness.time.advance(100);
   harness.changeInstance('gone', 'leaving');
@@ -83,8 +83,8 @@
 // Its VM became unreachable: connections hang, a run is aborted as idle, and control drops the instance seconds later.
 void test.test('an unresponsive instance has crashed once control drops it, with all of its runs', () => {
   const harness = new Harness();
-  harness.sign = 'unknown';
-  harness.breakOff('x');
+  harness.checkResult = 'unknown';
+  harness.breakRun('x');
   harness.detector.runStarted('a', 'y', 'r');
   harness.time.advance(5_000);
   assert.deepEqual(harness.crashes, []);
@@ -94,8 +94,8 @@
 
 void test.test('an instance that restarted has crashed', () => {
   const harness = new Harness();
-  harness.sign = 'unknown';
-  harness.breakOff('x');
+  harness.checkResult = 'unknown';
+  harness.breakRun('x');
   harness.time.advance(500);
   harness.changeInstance('replaced');
   assert.deepEqual(harness.crashes, ['x a startedAnew']);
@@ -104,8 +104,8 @@
 // A short network partition broke the run; the instance crashed a minute later for another reason.
 void test.test('a run that broke long before a crash is not reported', () => {
   const harness = new Harness();
-  harness.sign = 'unknown';
-  harness.breakOff('x');
+  harness.checkResult = 'unknown';
+  harness.breakRun('x');
   harness.time.advance(60_000);
   harness.changeInstance('gone');
   assert.deepEqual(harness.crashes, []);
--- a/packages/kumquatfront/src/quarantine/crashDetector.ts
+++ b/packages/kumquatfront/src/quarantine/crashDetector.ts
@@ -43,7 +43,7 @@
 export interface CrashDetectorOptions {
   readonly timers: timerService.TimerService;
   /** Tries to connect to an address. */
-  readonly check: (address: string, done: (sign: relayTypes.ConnectionCheckResult) => void) => void;
+  readonly check: (address: string, done: (result: relayTypes.ConnectionCheckResult) => void) => void;
   /** Returns true if a termination notice of the instance is known. */
   readonly isTerminating: (identity: string) => boolean;
   readonly onCrash: (crash: DetectedCrash) => void;
@@ -58,7 +58,7 @@
   readonly brokeAt: ports.Milliseconds | undefined;
 }
 
-/** Wraps a callback so that it runs exactly once: when called, or after `MAX_CHECK_WAIT`. */
+/** Wraps a callback so that it runs exactly once: when called, or after `MAXIMUM_CHECK_WAIT`. */
 function onceWithTimeout(timers: timerService.TimerService, done: () => void): () => void {
   let called = false;
   const call = (): void => {
@@ -135,13 +135,13 @@
     }
     this.checking.set(identity, [done]);
     timers.after(CHECK_DELAY, () => {
-      check(instance.address, (sign) => {
+      check(instance.address, (result) => {
         const callbacks = this.checking.get(identity) ?? [];
         this.checking.delete(identity);
-        if (sign === 'refused') {
+        if (result === 'refused') {
           this.options.onInstanceDown(identity);
           this.reportCrashes(identity, 'refusesConnections');
-        } else if (sign === 'accepted') {
+        } else if (result === 'accepted') {
           this.discardBrokenRuns(identity);
         }
         for (const callback of callbacks) {
@@ -163,13 +163,13 @@
     }
   }
 
-  private reportCrashes(instance: string, sign: CrashEvidence): void {
+  private reportCrashes(instance: string, evidence: CrashEvidence): void {
     const runs = [...(this.runs.get(instance)?.values() ?? [])];
     this.runs.delete(instance);
     const oldest = this.options.timers.now() - CONFIRMATION_TIMEOUT;
     for (const { content, request, brokeAt } of runs) {
       if (brokeAt === undefined || brokeAt > oldest) {
-        this.options.onCrash({ content, instance, sign, request });
+        this.options.onCrash({ content, instance, sign: evidence, request });
       }
     }
   }
--- a/packages/kumquatfront/src/quarantine/crashRecordStore.ts
+++ b/packages/kumquatfront/src/quarantine/crashRecordStore.ts
@@ -244,7 +244,7 @@
     }
   }
 
-  /** Evicts the least recently changed record beyond `MAX_RECORDS`, if possible one that is not quarantined. */
+  /** Evicts the least recently changed record beyond `MAXIMUM_RECORDS`, if possible one that is not quarantined. */
   private evictExcessRecord(): void {
     if (this.records.size <= MAXIMUM_RECORDS) {
       return;
--- a/packages/kumquatfront/src/quarantine/guardedUpstreams.ts
+++ b/packages/kumquatfront/src/quarantine/guardedUpstreams.ts
@@ -143,9 +143,9 @@
     policy.recordSent(call.instance, now);
     const tracked = new TrackedRun(options, call, content);
     const cancel = upstreams.send(call, tracked.wrapListener(listener));
-    return (why) => {
-      tracked.finish(why === 'silent');
-      cancel(why);
+    return (reason) => {
+      tracked.finish(reason === 'silent');
+      cancel(reason);
     };
   };
   return { ...upstreams, send };
--- a/packages/kumquatfront/src/quarantine/quarantine.spec.ts
+++ b/packages/kumquatfront/src/quarantine/quarantine.spec.ts
@@ -229,14 +229,14 @@
 /** Outcome of requests that ran beside a crashing request. */
 interface Bystanders {
   /** Contents with at least one crash, and contents with as many crashes as a quarantine needs. */
-  readonly under: readonly [one: number, three: number];
-  readonly turnedAway: number;
+  readonly crashedContents: readonly [one: number, three: number];
+  readonly refused: number;
 }
 
 /** Sends three crashing contents among many other requests, with a retry of each failed request. */
 function simulateBystanders(service: crashTestHarness.ServiceName, gap: number, seed: number): Bystanders {
   const harness = create(seed);
-  const askTwice = (entry: string, content: string): void => {
+  const sendWithRetry = (entry: string, content: string): void => {
     harness.sendRequest(entry, service, content, (first) => {
       if (first.outcome !== 'served') {
         harness.time.after(300, () => {
@@ -248,7 +248,7 @@
   for (let index = 0; index < 150; index += 1) {
     const content = index % 30 === 10 ? `${CRASHING_CONTENT} ${Math.floor(index / 60)}` : `other ${index}`;
     harness.time.after(index * gap, () => {
-      askTwice(`e${(index % 7) + 1}`, content);
+      sendWithRetry(`e${(index % 7) + 1}`, content);
     });
   }
   harness.time.advance(150 * gap + 8_000);
@@ -261,26 +261,29 @@
     .map(([, count]) => count);
   const others = harness.attempts.filter(({ content }) => !content.startsWith(CRASHING_CONTENT));
   return {
-    under: [counts.length, counts.filter((count) => count >= 3).length],
-    turnedAway: others.filter(({ outcome }) => outcome === 'quarantined').length,
+    crashedContents: [counts.length, counts.filter((count) => count >= 3).length],
+    refused: others.filter(({ outcome }) => outcome === 'quarantined').length,
   };
 }
 
-// Bystanders crash with their engine, and are resumed and retried like the crashing request; on busy engines some are
-// under three crashes. At most one in a thousand may be refused.
-for (const [service, gap, least, leastUnderThree] of [
+// Bystanders crash with their engine, and are resumed and retried like the crashing request; on busy engines some have
+// three crashes. At most one in a thousand may be refused.
+for (const [service, gap, least, leastWithThree] of [
   ['llm', 60, 500, 0],
   ['llm', 30, 1_000, 10],
   ['app', 15, 30, 0],
 ] as const) {
   void test.test(`bystanders are not refused (${service}, one request every ${gap} ms)`, () => {
-    const plays = Array.from({ length: 40 }, (_, index) => simulateBystanders(service, gap, index + 1));
-    const sum = (count: (play: Bystanders) => number): number =>
-      plays.reduce((total, play) => total + count(play), 0);
-    const bystanders = sum(({ under }) => under[0]);
+    const runs = Array.from({ length: 40 }, (_, index) => simulateBystanders(service, gap, index + 1));
+    const sum = (count: (run: Bystanders) => number): number =>
+      runs.reduce((total, run) => total + count(run), 0);
+    const bystanders = sum(({ crashedContents }) => crashedContents[0]);
     assert.ok(bystanders >= least, `only ${bystanders} bystanders`);
-    assert.ok(sum(({ under }) => under[1]) >= leastUnderThree, 'too few were under three crashes');
-    const turnedAway = sum((play) => play.turnedAway);
-    assert.ok(turnedAway * 1_000 <= bystanders, `${turnedAway} of ${bystanders} were refused`);
+    assert.ok(
+      sum(({ crashedContents }) => crashedContents[1]) >= leastWithThree,
+      'too few bystanders had three crashes',
+    );
+    const refused = sum((run) => run.refused);
+    assert.ok(refused * 1_000 <= bystanders, `${refused} of ${bystanders} were refused`);
   });
 }
--- a/packages/kumquatfront/src/quarantine/quarantineRegistry.spec.ts
+++ b/packages/kumquatfront/src/quarantine/quarantineRegistry.spec.ts
@@ -18,11 +18,11 @@
 
   /** Creates the registry of a restarted replica from the replicated log. */
   createRegistry(): quarantineRegistry.QuarantineRegistry {
-    const silent = (): void => undefined;
+    const noop = (): void => undefined;
     return new quarantineRegistry.QuarantineRegistry({
       now: () => this.now,
-      log: { debug: silent, info: silent, warn: silent, error: silent },
-      metrics: { count: silent, gauge: silent, timing: silent },
+      log: { debug: noop, info: noop, warn: noop, error: noop },
+      metrics: { count: noop, gauge: noop, timing: noop },
       agreed: () => this.state.quarantined,
       mayLead: () => this.mayLead,
       maximumAgreed: this.state.maximumQuarantined,
--- a/packages/kumquatfront/src/quarantine/repeatedCrashes.spec.ts
+++ b/packages/kumquatfront/src/quarantine/repeatedCrashes.spec.ts
@@ -13,7 +13,7 @@
 const CRASHES_TO_QUARANTINE = 3;
 const MAXIMUM_LATE_SENDS = 3;
 
-/** Time after the third crash within which every entry must know of the quarantine. */
+/** Time after the third crash within which every entry must have received the quarantine. */
 const PROPAGATION_LIMIT = 3_000;
 
 function effectOf(content: string): crashTestHarness.Effect {
--- a/packages/kumquatfront/src/routing/types.ts
+++ b/packages/kumquatfront/src/routing/types.ts
@@ -50,8 +50,8 @@
   place(request: PlacementRequest, done: (placement: Placement) => void): ports.Cancel;
   /** Records the total number of tokens that a generation has produced so far. */
   onProgress(requestId: string, produced: number): void;
-  /** Records that a request has left its upstream; `whole` is true if the generation ran to completion. */
-  onFinished(requestId: string, produced: number, whole: boolean): void;
+  /** Records that a request has left its upstream; `completed` is true if the generation ran to completion. */
+  onFinished(requestId: string, produced: number, completed: boolean): void;
   /** Returns the number of requests waiting for placement. */
   waitingCount(): number;
 }
--- a/packages/kumquatfront/src/traffic/residency.spec.ts
+++ b/packages/kumquatfront/src/traffic/residency.spec.ts
@@ -57,7 +57,7 @@
   const limits = { headerBytes: 1, bodyBytes: 1, headerTimeout: 1, idleTimeout: 1 };
   const routes = [{ ...route(homes), kind }];
   const table = new routeTable.RouteTable({ version: 1, routes, services: [service], limits });
-  const trafficRelayUnderTest = new trafficRelay.TrafficRelay({
+  const relayUnderTest = new trafficRelay.TrafficRelay({
     context: harness.context,
     random: seededRandom.create(1),
     regions: REGIONS,
@@ -65,7 +65,7 @@
     isDraining: () => false,
   });
   const { request, caller } = harness.createRoutedRequest(kind);
-  trafficRelayUnderTest.handle(request, caller);
+  relayUnderTest.handle(request, caller);
   harness.time.advance(5);
   return harness;
 }
@@ -81,9 +81,9 @@
   'without an upstream in the home region a request is refused immediately and not executed',
   () => {
     for (const kind of ['idempotent', 'nonIdempotent', 'stream'] as const) {
-      const { sentCalls: sent, callerEvents: got } = relay(['east'], kind);
-      assert.equal(sent.length, 0);
-      assert.deepEqual(got, ['refused noUpstream']);
+      const { sentCalls, callerEvents } = relay(['east'], kind);
+      assert.equal(sentCalls.length, 0);
+      assert.deepEqual(callerEvents, ['refused noUpstream']);
     }
   },
 );
--- a/packages/kumquatfront/src/traffic/traffic.spec.ts
+++ b/packages/kumquatfront/src/traffic/traffic.spec.ts
@@ -101,9 +101,9 @@
   ],
 ];
 
-for (const [name, contradiction] of inconsistentConfigurations) {
+for (const [name, inconsistent] of inconsistentConfigurations) {
   void test.test(`${name} is rejected with a remedy`, () => {
-    const checked = trafficValidation.check(contradiction);
+    const checked = trafficValidation.check(inconsistent);
     assert.equal(checked.err && checked.val.kind, 'badInput');
     assert.notEqual(checked.err && checked.val.remedy, '');
   });
--- a/packages/kumquatfront/src/trafficEntry/trafficEntry.ts
+++ b/packages/kumquatfront/src/trafficEntry/trafficEntry.ts
@@ -100,7 +100,7 @@
         signals.onInstanceChange(change);
         if (event === 'gone' || event === 'replaced') {
           balancer.forget(instance.identity);
-          rules.forget(instance.identity);
+          policy.removeUpstream(instance.identity);
         }
         if (event === 'replaced') {
           this.placement.onRestart(instance.identity);
@@ -108,7 +108,7 @@
       }
     });
     const entryCount = (): number => this.watch.entryCount;
-    const rules = new sendPolicy.SendPolicy({
+    const policy = new sendPolicy.SendPolicy({
       entry: settings.name,
       random,
       instances,
@@ -117,7 +117,11 @@
       coldShare: new entryShare.EntryShare(settings.name, entryCount, warmUpBounds.COLD_WINDOW),
       warmUpLimitOf: (service) => this.coldRequestLimitOf(service),
     });
-    const balancer = new localBalancer.LocalBalancer({ random, dataCentre: settings.dataCentre, rules });
+    const balancer = new localBalancer.LocalBalancer({
+      random,
+      dataCentre: settings.dataCentre,
+      rules: policy,
+    });
     this.placement = new placementClient.PlacementClient({
       entry: settings.name,
       dataCentre: settings.dataCentre,
@@ -150,7 +154,7 @@
         } satisfies methods.CrashedInstances);
       },
     });
-    const { placement, quarantine: guard } = this;
+    const { placement, quarantine: quarantineState } = this;
     const budget = new serviceRetryBudget.ServiceRetryBudget(
       settings.retries,
       () => this.watch.shareOfEntries,
@@ -164,17 +168,17 @@
         upstreams: guardedUpstreams.create({
           upstreams,
           timers,
-          quarantine: guard,
+          quarantine: quarantineState,
           signals,
-          policy: rules,
+          policy,
           log,
         }),
         instances,
-        rules,
+        rules: policy,
         balancer,
         retryBudget: budget,
         placement,
-        quarantine: guard,
+        quarantine: quarantineState,
       },
       random,
       regions: settings.regions,
@@ -195,8 +199,8 @@
       onCoordinatorChanged: () => {
         placement.onCoordinatorChange();
       },
-      onCrashRecords: (cases) => {
-        guard.mergeRecords(cases);
+      onCrashRecords: (records) => {
+        quarantineState.mergeRecords(records);
       },
       onEvacuations: ({ dataCentres, revision }) => {
         const names = dataCentres.map((evacuation) => evacuation.dataCentre);
@@ -204,8 +208,8 @@
         instances.setEvacuated(names);
       },
       onReplicaStarted: (address) => {
-        // A restarted replica has only the crash records on the disks of the control replicas.
-        reporter.reportTo(address, guard.trackedContents());
+        // A restarted replica has lost its crash records; the replicated log only restores committed quarantines.
+        reporter.reportTo(address, quarantineState.trackedContents());
       },
     });
     this.services.register('timers', timers);
@@ -213,7 +217,7 @@
     this.services.register('placement', placement);
     this.services.register('relay', this.relay);
     this.services.register('watch', this.watch);
-    this.services.register('quarantine', guard);
+    this.services.register('quarantine', quarantineState);
   }
 
   private notifyControl(method: string, parameters: unknown): void {
--- a/packages/kumquatfront/src/warmUp/entryShare.ts
+++ b/packages/kumquatfront/src/warmUp/entryShare.ts
@@ -65,10 +65,10 @@
       return 0;
     }
     const share = totalPerWindow / entries;
-    const whole = Math.floor(share);
-    const roundedUp =
-      rendezvousHashing.hash(`${this.entry} ${identity}`) / HASH_RANGE < share - whole ? 1 : 0;
-    return whole + roundedUp;
+    const integerPart = Math.floor(share);
+    const increment =
+      rendezvousHashing.hash(`${this.entry} ${identity}`) / HASH_RANGE < share - integerPart ? 1 : 0;
+    return integerPart + increment;
   }
 
   /** Counts a request sent to an upstream. */
--- a/packages/kumquatfront/src/warmUp/warmUp.spec.ts
+++ b/packages/kumquatfront/src/warmUp/warmUp.spec.ts
@@ -72,15 +72,15 @@
 void test.test('entries with shares below one request neither overload an upstream nor starve it', () => {
   const warmUp = { requestsPerSecond: 31, duration: 1_000 };
   const tolerance = { overshoot: 1.5, tolerance: 5 };
-  const ofAll = warmUpBounds.forEntries(warmUp, tolerance, 'entries');
+  const totalPerWindow = warmUpBounds.forEntries(warmUp, tolerance, 'entries');
   let sum = 0;
   const UPSTREAMS = 200;
   for (let index = 0; index < UPSTREAMS; index += 1) {
-    const most = maximumInWindow(sendAll(75, `i-${index}`, ofAll, index));
+    const most = maximumInWindow(sendAll(75, `i-${index}`, totalPerWindow, index));
     assert.ok(most <= 51.5, `${most} in a second`);
     sum += most;
   }
-  assert.ok(sum / UPSTREAMS > 0.8 * ofAll, `${sum / UPSTREAMS} on average`);
+  assert.ok(sum / UPSTREAMS > 0.8 * totalPerWindow, `${sum / UPSTREAMS} on average`);
 });
 
 void test.test('the bound holds for any number of entries and any upstream', () => {
@@ -92,8 +92,8 @@
       fastCheck.integer(),
       ({ requestsPerSecond, overshoot, tolerance }, count, seed) => {
         const warmUp = { requestsPerSecond, duration: 1_000 };
-        const ofAll = warmUpBounds.forEntries(warmUp, { overshoot, tolerance }, 'entries');
-        const times = sendAll(count, `i-${seed}`, ofAll, seed);
+        const totalPerWindow = warmUpBounds.forEntries(warmUp, { overshoot, tolerance }, 'entries');
+        const times = sendAll(count, `i-${seed}`, totalPerWindow, seed);
         assert.ok(maximumInWindow(times) <= requestsPerSecond * overshoot + tolerance);
       },
     ),
--- a/packages/scenarios/src/scripts/quarantineSafeguards.ts
+++ b/packages/scenarios/src/scripts/quarantineSafeguards.ts
@@ -56,7 +56,7 @@
   {
     name: 'a replica that has started is told again',
     file: 'trafficEntry/trafficEntry.js',
-    find: 'reporter.reportTo(address, guard.trackedContents());',
+    find: 'reporter.reportTo(address, quarantineState.trackedContents());',
     replace: '',
     scenario: SYSTEM,
   },
--- a/packages/scenarios/src/scripts/relaySafeguards.ts
+++ b/packages/scenarios/src/scripts/relaySafeguards.ts
@@ -171,7 +171,7 @@
     name: 'urgent ones go first, then those that can be in time',
     file: 'placement/placementQueue.js',
     find: 'left.rank - right.rank || left.late - right.late || left.length - right.length',
-    replace: 'left.entry.since - right.entry.since',
+    replace: 'left.queued.since - right.queued.since',
     scenario: LATENESS,
   },
   {
