--- a/packages/kumquatfront/src/backPressure/pausedUpstream.spec.ts
+++ b/packages/kumquatfront/src/backPressure/pausedUpstream.spec.ts
@@ -51,8 +51,8 @@
     harness.generateLoad(service, 24, 4_000);
     harness.headOf = (upstream) => (upstream === `${service}-1` ? pauseRefusal : relayTestHarness.okHead);
     harness.generateLoad(service, 24, 12_000);
-    const most = maximumDuringPause(harness, `${service}-1`);
-    assert.ok(most <= MAXIMUM_DURING_PAUSE, `${most} requests during a pause`);
+    const maximum = maximumDuringPause(harness, `${service}-1`);
+    assert.ok(maximum <= MAXIMUM_DURING_PAUSE, `${maximum} requests during a pause`);
   });
 }
 
--- a/packages/kumquatfront/src/backPressure/rateLimitShare.spec.ts
+++ b/packages/kumquatfront/src/backPressure/rateLimitShare.spec.ts
@@ -36,15 +36,15 @@
 }
 
 function maximumInWindow(times: readonly number[]): number {
-  let most = 0;
+  let maximum = 0;
   let first = 0;
   for (const [index, time] of times.entries()) {
     while (time - (times[first] ?? time) >= MEASURED_WINDOW) {
       first += 1;
     }
-    most = Math.max(most, index - first + 1);
+    maximum = Math.max(maximum, index - first + 1);
   }
-  return most;
+  return maximum;
 }
 
 void test.test('any number of entries keeps within any limit', () => {
@@ -59,7 +59,7 @@
 });
 
 void test.test('few entries use most of a limit, many entries a substantial part', () => {
-  for (const [entryCount, perSecond, least] of [
+  for (const [entryCount, perSecond, minimumShare] of [
     [1, 2, 0.8],
     [7, 1.9, 0.8],
     [7, 10, 0.8],
@@ -68,6 +68,9 @@
   ] as const) {
     const totalPerWindow = rateLimitShare.requestsPerWindow(perSecond, entryCount);
     const used = totalPerWindow / (perSecond * (rateLimitShare.RATE_WINDOW / 1_000));
-    assert.ok(used >= least && used <= 1, `${entryCount} entries use ${used} of ${perSecond} a second`);
+    assert.ok(
+      used >= minimumShare && used <= 1,
+      `${entryCount} entries use ${used} of ${perSecond} a second`,
+    );
   }
 });
--- a/packages/kumquatfront/src/backPressure/rateLimitedUpstream.spec.ts
+++ b/packages/kumquatfront/src/backPressure/rateLimitedUpstream.spec.ts
@@ -69,10 +69,10 @@
     harness.headOf = (upstream) => withRateLimit(limits.get(upstream) ?? 1_000);
     harness.generateLoad(service, 24, 16_000);
     for (const [upstream, limit] of limits) {
-      const most = maximumArrivals(harness, upstream);
+      const maximum = maximumArrivals(harness, upstream);
       assert.ok(
-        most <= allowedBy(limit),
-        `${upstream} allows ${limit} a second and received ${most} in four seconds`,
+        maximum <= allowedBy(limit),
+        `${upstream} allows ${limit} a second and received ${maximum} in four seconds`,
       );
     }
   });
--- a/packages/kumquatfront/src/backPressure/sendPolicy.spec.ts
+++ b/packages/kumquatfront/src/backPressure/sendPolicy.spec.ts
@@ -166,17 +166,17 @@
   const all = Array.from({ length: ENTRIES }, (_, index) => createPolicy(`edge-${index}`, ENTRIES, time));
   const probes: number[] = [];
   for (let second = 0; second < 600; second += 1) {
-    for (const rules of all) {
-      if (rules.exclusionOf(instance, time.now()) === undefined) {
-        rules.recordSent(instance, time.now());
+    for (const policy of all) {
+      if (policy.exclusionOf(instance, time.now()) === undefined) {
+        policy.recordSent(instance, time.now());
         probes.push(time.now());
       }
     }
     time.advance(1_000);
   }
   assert.ok(probes.length >= 20 && probes.length <= 50, `${probes.length} in ten minutes`);
-  const most = Math.max(
+  const maximum = Math.max(
     ...probes.map((at) => probes.filter((other) => other >= at && other - at < 4_000).length),
   );
-  assert.ok(most <= 5, `${most} in four seconds`);
+  assert.ok(maximum <= 5, `${maximum} in four seconds`);
 });
--- a/packages/kumquatfront/src/quarantine/quarantine.spec.ts
+++ b/packages/kumquatfront/src/quarantine/quarantine.spec.ts
@@ -193,8 +193,8 @@
   assert.equal(harness.arrivals.length, 15);
 });
 
-// Control restarts after two crashes. The third is detected by a new entry, which knows of the others only if older
-// entries reported them again.
+// Control restarts after two crashes. The third is detected by a new entry, which has received the others only if
+// older entries reported them again.
 void test.test('crashes that control has lost are reported to it again', () => {
   const harness = create();
   harness.sendRequest('e1', 'llm', CRASHING_CONTENT);
@@ -268,7 +268,7 @@
 
 // Bystanders crash with their engine, and are resumed and retried like the crashing request; on busy engines some have
 // three crashes. At most one in a thousand may be refused.
-for (const [service, gap, least, leastWithThree] of [
+for (const [service, gap, minimumBystanders, minimumWithThree] of [
   ['llm', 60, 500, 0],
   ['llm', 30, 1_000, 10],
   ['app', 15, 30, 0],
@@ -278,9 +278,9 @@
     const sum = (count: (run: Bystanders) => number): number =>
       runs.reduce((total, run) => total + count(run), 0);
     const bystanders = sum(({ crashedContents }) => crashedContents[0]);
-    assert.ok(bystanders >= least, `only ${bystanders} bystanders`);
+    assert.ok(bystanders >= minimumBystanders, `only ${bystanders} bystanders`);
     assert.ok(
-      sum(({ crashedContents }) => crashedContents[1]) >= leastWithThree,
+      sum(({ crashedContents }) => crashedContents[1]) >= minimumWithThree,
       'too few bystanders had three crashes',
     );
     const refused = sum((run) => run.refused);
--- a/packages/kumquatfront/src/warmUp/warmUp.spec.ts
+++ b/packages/kumquatfront/src/warmUp/warmUp.spec.ts
@@ -21,15 +21,15 @@
 
 /** Maximum number of sorted times within any one second. */
 function maximumInWindow(times: readonly number[]): number {
-  let most = 0;
+  let maximum = 0;
   let first = 0;
   for (const [index, time] of times.entries()) {
     while (time - (times[first] ?? time) > WINDOW) {
       first += 1;
     }
-    most = Math.max(most, index - first + 1);
+    maximum = Math.max(maximum, index - first + 1);
   }
-  return most;
+  return maximum;
 }
 
 /** Sends from every entry to one cold upstream whenever its share permits; returns all times, sorted. */
@@ -57,13 +57,13 @@
   fastCheck.assert(
     fastCheck.property(bounds, ({ requestsPerSecond, overshoot, tolerance }) => {
       const warmUp = { requestsPerSecond, duration: 1_000 };
-      const most = requestsPerSecond * overshoot + tolerance;
+      const maximum = requestsPerSecond * overshoot + tolerance;
       const coordinator = warmUpBounds.forCoordinator(warmUp, { overshoot, tolerance });
-      const alone = warmUpBounds.forEntries(warmUp, { overshoot, tolerance }, 'coordinator');
+      const fallback = warmUpBounds.forEntries(warmUp, { overshoot, tolerance }, 'coordinator');
       const entries = warmUpBounds.forEntries(warmUp, { overshoot, tolerance }, 'entries');
-      assert.ok(2 * coordinator + alone + 5 * Math.sqrt(alone) <= most + 1e-9);
-      assert.ok(entries + 5 * Math.sqrt(entries) <= most + 1e-9);
-      assert.ok(coordinator >= 1 && alone > 0 && entries > 0);
+      assert.ok(2 * coordinator + fallback + 5 * Math.sqrt(fallback) <= maximum + 1e-9);
+      assert.ok(entries + 5 * Math.sqrt(entries) <= maximum + 1e-9);
+      assert.ok(coordinator >= 1 && fallback > 0 && entries > 0);
     }),
   );
 });
@@ -76,9 +76,9 @@
   let sum = 0;
   const UPSTREAMS = 200;
   for (let index = 0; index < UPSTREAMS; index += 1) {
-    const most = maximumInWindow(sendAll(75, `i-${index}`, totalPerWindow, index));
-    assert.ok(most <= 51.5, `${most} in a second`);
-    sum += most;
+    const maximum = maximumInWindow(sendAll(75, `i-${index}`, totalPerWindow, index));
+    assert.ok(maximum <= 51.5, `${maximum} in a second`);
+    sum += maximum;
   }
   assert.ok(sum / UPSTREAMS > 0.8 * totalPerWindow, `${sum / UPSTREAMS} on average`);
 });
