--- a/packages/kumquatfront/src/backPressure/rateLimitedUpstream.spec.ts
+++ b/packages/kumquatfront/src/backPressure/rateLimitedUpstream.spec.ts
@@ -69,10 +69,10 @@
     harness.headOf = (upstream) => withRateLimit(limits.get(upstream) ?? 1_000);
     harness.generateLoad(service, 24, 16_000);
     for (const [upstream, limit] of limits) {
-      const most = maximumArrivals(harness, upstream);
+      const maximum = maximumArrivals(harness, upstream);
       assert.ok(
-        most <= allowedBy(limit),
-        `${upstream} allows ${limit} a second and received ${most} in four seconds`,
+        maximum <= allowedBy(limit),
+        `${upstream} allows ${limit} a second and received ${maximum} in four seconds`,
       );
     }
   });
@@ -83,10 +83,10 @@
   const harness = new crashTestHarness.CrashTestHarness(75, { llm: 1, app: 4 }, () => 'served');
   harness.generateLoad('app', 100, 3_000);
   harness.headOf = (upstream) => withRateLimit(upstream === 'app-1' ? 2 : 1_000);
-  const namedAt = harness.time.now();
+  const limitedAt = harness.time.now();
   harness.generateLoad('app', 100, 12_000);
   const later = harness.arrivals.filter(
-    ({ upstream, at }) => upstream === 'app-1' && at >= namedAt + ENFORCED_AFTER,
+    ({ upstream, at }) => upstream === 'app-1' && at >= limitedAt + ENFORCED_AFTER,
   );
   assert.ok(maximumInWindow(later) <= allowedBy(2), `${maximumInWindow(later)} in four seconds`);
   assert.ok(later.length > 0, 'the upstream received no requests at all');
