--- a/packages/kumquatfront/src/agreedState/agreedState.ts
+++ b/packages/kumquatfront/src/agreedState/agreedState.ts
@@ -268,16 +268,18 @@
 
   /** Configuration changes since a version, for an entry that pulls them. */
   deltaSince(version: number, clusterIdentity: string): configuration.ConfigurationDelta {
-    const whole = version < this.tombstoneFloor || version > this.version;
+    const isComplete = version < this.tombstoneFloor || version > this.version;
     const objects = [...this.objects.values()];
     return {
       clusterIdentity,
       version: this.version,
-      whole,
-      objects: whole ? objects : objects.filter((object) => object.version > version),
-      deleted: whole
+      whole: isComplete,
+      objects: isComplete ? objects : objects.filter((object) => object.version > version),
+      deleted: isComplete
         ? []
-        : this.tombstones.filter((tombstone) => tombstone.version > version).map((stone) => stone.key),
+        : this.tombstones
+            .filter((tombstone) => tombstone.version > version)
+            .map((tombstone) => tombstone.key),
     };
   }
 
--- a/packages/kumquatfront/src/configuration/types.ts
+++ b/packages/kumquatfront/src/configuration/types.ts
@@ -95,6 +95,7 @@
 export interface ConfigurationDelta {
   readonly clusterIdentity: string;
   readonly version: number;
+  /** True if `objects` is the full configuration: objects that are not in it have been deleted. */
   readonly whole: boolean;
   readonly objects: readonly ConfigurationObject[];
   readonly deleted: readonly string[];
--- a/packages/kumquatfront/src/configuration/validation.ts
+++ b/packages/kumquatfront/src/configuration/validation.ts
@@ -9,7 +9,7 @@
 import * as schemaFailures from '../utils/schemaFailures.js';
 import type * as types from './types.js';
 
-// Failure texts are stored in the replicated state and part of its digest: all replicas must produce the same text.
+// Failure texts are stored in the replicated state and are part of its digest: all replicas must produce the same text.
 
 const labelsSchema = {
   type: 'object',
--- a/packages/kumquatfront/src/consensus/election.ts
+++ b/packages/kumquatfront/src/consensus/election.ts
@@ -78,8 +78,8 @@
   /** Other voters whose latest answer since the start of this replica reported no leader, by identity. */
   private leaderlessVoters = new Map<string, LeaderlessVoter>();
   private isProbing = false;
-  /** Term of the election that was started because no voter knew a leader. */
-  private unopposedTerm: number | undefined;
+  /** Term of the election that this replica started because no voter knew a leader. */
+  private leaderlessElectionTerm: number | undefined;
   /** When this replica last gave its vote, including to itself. */
   private votedAt = Number.NEGATIVE_INFINITY;
   private cancelTimer: ports.Cancel = () => undefined;
@@ -137,7 +137,7 @@
     if (this.host.role() === 'leader' || !this.isVoter()) {
       return;
     }
-    // Pre-vote: a partitioned replica asks without raising its term. When it reconnects, voters in contact with a
+    // Pre-vote: a partitioned replica does not raise its term. When it reconnects, voters in contact with a
     // leader refuse, and the leader is not deposed.
     this.host.clearLeader();
     this.requestVotes(true);
@@ -152,7 +152,7 @@
     this.restartTimer();
     store.whenDurable(() => {
       if (this.host.role() === 'candidate') {
-        this.requestVotes(false, this.unopposedTerm === store.hardState.term);
+        this.requestVotes(false, this.leaderlessElectionTerm === store.hardState.term);
       }
     });
   }
@@ -202,7 +202,7 @@
     const isPreferred = isPreferredCandidate({ identity, lastIndex, lastTerm }, probing);
     if (allLeaderless && isPreferred && this.host.role() === 'follower' && !this.host.hasLeaderContact()) {
       this.options.log.info('allVotersLeaderless', { voters: others.length + 1 });
-      this.unopposedTerm = term + 1;
+      this.leaderlessElectionTerm = term + 1;
       this.startElection();
     }
   }
@@ -219,11 +219,11 @@
   }
 
   private recordLeaderlessAnswer(answer: types.VoteAnswer): void {
-    const { from: identity, lastIndex, lastTerm, term, asks } = answer;
+    const { from: identity, lastIndex, lastTerm, term, asks: isProbing } = answer;
     if (!answer.leaderless) {
       this.leaderlessVoters.delete(identity);
     } else if (this.host.role() === 'follower' && this.isProbing) {
-      this.leaderlessVoters.set(identity, { identity, lastIndex, lastTerm, term, isProbing: asks });
+      this.leaderlessVoters.set(identity, { identity, lastIndex, lastTerm, term, isProbing });
       this.startElectionIfLeaderless();
     }
   }
@@ -234,8 +234,8 @@
     const upToDate = isUpToDate(message, store);
     // A voter in contact with a leader, or a leader that holds its lease, refuses whatever the term of the request.
     // The leader lease relies on this.
-    const unopposed = message.afterRestart && !message.preVote;
-    const isLeaderAlive = unopposed ? this.host.hasLeaderContact() : this.host.isLeaderAlive();
+    const isLeaderlessElection = message.afterRestart && !message.preVote;
+    const isLeaderAlive = isLeaderlessElection ? this.host.hasLeaderContact() : this.host.isLeaderAlive();
     if (!isLeaderAlive && !message.preVote && message.term > store.hardState.term) {
       this.host.raiseTerm(message.term);
     }
@@ -256,7 +256,7 @@
     const term = granted ? message.term : store.hardState.term;
     const leaderless = !this.host.hasLeaderContact() && !this.hasRecentVoteForOther(message.from);
     const { preVote } = message;
-    const { isProbing: asks } = this;
+    const { isProbing } = this;
     const { lastIndex, lastTerm } = store;
     store.whenDurable(() => {
       const body = {
@@ -265,7 +265,7 @@
         granted,
         term,
         leaderless,
-        asks,
+        asks: isProbing,
         lastIndex,
         lastTerm,
       } as const;
--- a/packages/kumquatfront/src/consensus/leadership.ts
+++ b/packages/kumquatfront/src/consensus/leadership.ts
@@ -90,8 +90,8 @@
     this.cancelHeartbeat();
     const pending = this.readConfirmations;
     this.readConfirmations = [];
-    for (const entry of pending) {
-      entry.done(false);
+    for (const confirmation of pending) {
+      confirmation.done(false);
     }
   }
 
@@ -127,10 +127,14 @@
 
   private completeConfirmations(): void {
     const acknowledgedRound = this.quorumValue(this.lastRound, (peer) => peer.acknowledgedRound);
-    const confirmed = this.readConfirmations.filter((entry) => acknowledgedRound > entry.afterRound);
-    this.readConfirmations = this.readConfirmations.filter((entry) => acknowledgedRound <= entry.afterRound);
-    for (const entry of confirmed) {
-      entry.done(true);
+    const confirmed = this.readConfirmations.filter(
+      (confirmation) => acknowledgedRound > confirmation.afterRound,
+    );
+    this.readConfirmations = this.readConfirmations.filter(
+      (confirmation) => acknowledgedRound <= confirmation.afterRound,
+    );
+    for (const confirmation of confirmed) {
+      confirmation.done(true);
     }
   }
 
--- a/packages/kumquatfront/src/consensus/logFile.ts
+++ b/packages/kumquatfront/src/consensus/logFile.ts
@@ -78,7 +78,7 @@
  * is discarded. Any other unreadable record is corrupted data that was synced before: without it, acknowledged votes
  * and entries would be lost, so the file is rejected.
  *
- * @param bytes - the whole file
+ * @param bytes - content of the file
  * @returns the records, or a `corrupt` failure
  * @example
  * ```ts
--- a/packages/kumquatfront/src/consensus/logStore.spec.ts
+++ b/packages/kumquatfront/src/consensus/logStore.spec.ts
@@ -44,7 +44,7 @@
   }
 
   /** The folder as a crash after the first `count` operations leaves it. */
-  after(count: number): CrashDisk {
+  afterCrash(count: number): CrashDisk {
     const crashed = new CrashDisk();
     for (const operation of this.operations.slice(0, count)) {
       crashed.perform(operation);
@@ -85,7 +85,7 @@
   store.installSnapshot(snapshotAt(5, 3), () => undefined);
   assert.ok(disk.operations.length >= before + 3);
   for (let count = before; count <= disk.operations.length; count += 1) {
-    const reopened = open(disk.after(count));
+    const reopened = open(disk.afterCrash(count));
     const installed = reopened.snapshot.index === 5;
     assert.equal(reopened.lastIndex > 5 && installed, false, `after ${count - before} operations`);
     assert.equal(reopened.hardState.votedFor, 'b');
@@ -99,7 +99,7 @@
   const before = disk.operations.length;
   store.compact(snapshotAt(5, 2));
   for (let count = before; count <= disk.operations.length; count += 1) {
-    const reopened = open(disk.after(count));
+    const reopened = open(disk.afterCrash(count));
     assert.equal(reopened.lastIndex, 8);
     assert.equal(reopened.entryAt(8)?.term, 2);
     assert.equal(reopened.hardState.votedFor, 'b');
@@ -111,7 +111,7 @@
   const store = storeWith(disk, 4, 1);
   store.truncateFrom(3);
   store.append(entry(3, 2));
-  const reopened = open(disk.after(disk.operations.length));
+  const reopened = open(disk.afterCrash(disk.operations.length));
   assert.deepEqual([reopened.lastIndex, reopened.termAt(2), reopened.termAt(3)], [3, 1, 2]);
 });
 
--- a/packages/kumquatfront/src/consensus/replica.ts
+++ b/packages/kumquatfront/src/consensus/replica.ts
@@ -292,7 +292,7 @@
     return this.leadership === undefined ? this.hasHadLeaderContact && this.leaderAlive() : true;
   }
 
-  /** Presumes a leader to be alive for one election timeout after its last contact or after the start. */
+  /** True if a leader may be alive: for one election timeout after its last contact or after the start. */
   private leaderAlive(): boolean {
     return this.options.timers.now() - this.lastLeaderContactAt < this.options.timing.electionTimeout;
   }
--- a/packages/kumquatfront/src/controlNode/controlNode.ts
+++ b/packages/kumquatfront/src/controlNode/controlNode.ts
@@ -47,7 +47,7 @@
   readonly toleratedLosses?: number;
   /** Region of each data centre, by name; if absent, any data centre may be evacuated. */
   readonly regions?: residency.Regions;
-  /** How far the combined traffic to a cold upstream may exceed its limit; default not at all. */
+  /** Margin by which all senders together may exceed what a cold upstream tolerates; default none. */
   readonly warmUpTolerance?: warmUpBounds.WarmUpTolerance;
   /** Placement features in use; default all. */
   readonly isEnabled?: placementFeatures.IsEnabled;
@@ -90,7 +90,7 @@
 
 interface SeenEntry {
   readonly presence: directory.EntryPresence;
-  readonly seenAt: number;
+  readonly lastSeenAt: number;
 }
 
 /**
@@ -150,7 +150,7 @@
         peers.notify(address, methods.methods.consensus, message);
       },
     });
-    const desk = new orderDispatcher.OrderDispatcher({
+    const dispatcher = new orderDispatcher.OrderDispatcher({
       settings: settings.orders,
       replica: this.replica,
       state,
@@ -161,7 +161,7 @@
     this.services.register('timers', this.timers);
     this.services.register('state', state);
     this.services.register('replica', this.replica);
-    this.services.register('orders', desk);
+    this.services.register('orders', dispatcher);
     this.services.register('membership', this.createMembership(externalPorts, store.identity));
     if (externalPorts.decodeTraffic !== undefined) {
       this.traffic = this.createTrafficControl(externalPorts, externalPorts.decodeTraffic);
@@ -197,8 +197,8 @@
       decode,
       regions,
       warmUpTolerance,
-      leastVoters: Math.min(2 * toleratedLosses + 1, control.length),
-      wantedVoters: 2 * toleratedLosses + 1,
+      minimumVoters: Math.min(2 * toleratedLosses + 1, control.length),
+      requiredVoters: 2 * toleratedLosses + 1,
       hasPendingVoter: () => this.services.find('membership').hasPendingVoter(),
       ...(isEnabled !== undefined && { isEnabled }),
     });
@@ -317,7 +317,7 @@
     if (request.presence !== null) {
       this.lastSeenEntries.set(request.presence.name, {
         presence: request.presence,
-        seenAt: this.timers.now(),
+        lastSeenAt: this.timers.now(),
       });
     }
     if (request.leaderOnly && !this.replica.mayLead()) {
@@ -350,7 +350,7 @@
   private liveEntries(): readonly directory.EntryPresence[] {
     const now = this.timers.now();
     for (const [name, entry] of this.lastSeenEntries) {
-      if (now - entry.seenAt > this.settings.entryLease) {
+      if (now - entry.lastSeenAt > this.settings.entryLease) {
         this.lastSeenEntries.delete(name);
       }
     }
--- a/packages/kumquatfront/src/controlNode/membership.ts
+++ b/packages/kumquatfront/src/controlNode/membership.ts
@@ -165,7 +165,7 @@
       this.join(answers);
       return;
     }
-    // A replica that lost its disk cannot be told from a new one. Bootstrapping while another replica does not
+    // A replica that lost its disk cannot be distinguished from a new one. Bootstrapping while another replica does not
     // answer could create a second cluster, so all must answer and all must be new.
     const isFirst = [...this.controlAddresses].sort()[0] === peerAddress;
     if (mayBootstrap && answers.length === expected && isFirst && own.status().clusterIdentity === '') {
@@ -263,10 +263,10 @@
     const { members } = own.status();
     this.recordVoterSpread(members);
     const ready = members.filter((member) => this.hasCaughtUp(member));
-    const lacksVoters = this.responsiveVoters(members).length < this.wantedVoters;
+    const lacksVoters = this.responsiveVoters(members).length < this.requiredVoters;
     const lost = members.find((member) => ready.some((learner) => isReplaced(member, learner)));
     const promoted = voterSpread.findPromotableLearner(members, ready, lacksVoters);
-    const surplus = voterSpread.findSurplusVoter(members, this.wantedVoters, identity);
+    const surplus = voterSpread.findSurplusVoter(members, this.requiredVoters, identity);
     if (lost !== undefined) {
       const others = members.filter((member) => member !== lost);
       this.changeMembers(others, lost, 'lostRemoved');
@@ -285,7 +285,7 @@
     );
   }
 
-  private get wantedVoters(): number {
+  private get requiredVoters(): number {
     return 2 * this.options.toleratedLosses + 1;
   }
 
@@ -293,8 +293,8 @@
   private hasCaughtUp(member: consensus.Member): boolean {
     const { replica: own } = this.options;
     const matchIndex = own.progressOf(member.identity)?.matchIndex ?? 0;
-    const isNear = matchIndex > 0 && matchIndex + MAXIMUM_PROMOTION_LAG >= own.status().commitIndex;
-    return member.role === 'learner' && isNear && this.timeSinceAnswer(member) <= REPLACED_VOTER_TIMEOUT;
+    const isWithinLag = matchIndex > 0 && matchIndex + MAXIMUM_PROMOTION_LAG >= own.status().commitIndex;
+    return member.role === 'learner' && isWithinLag && this.timeSinceAnswer(member) <= REPLACED_VOTER_TIMEOUT;
   }
 
   private changeMembers(members: readonly consensus.Member[], changed: consensus.Member, step: string): void {
@@ -330,9 +330,9 @@
   private removeUnresponsiveMember(members: readonly consensus.Member[]): void {
     const { replica: own, log } = this.options;
     const voters = members.filter((member) => member.role === 'voter');
-    const hasEnoughVoters = this.responsiveVoters(members).length >= this.wantedVoters;
+    const hasEnoughVoters = this.responsiveVoters(members).length >= this.requiredVoters;
     const voterTimeout = hasEnoughVoters ? VOTER_REMOVAL_TIMEOUT : Number.POSITIVE_INFINITY;
-    const hasSurplusVoter = hasEnoughVoters && voters.length > this.wantedVoters;
+    const hasSurplusVoter = hasEnoughVoters && voters.length > this.requiredVoters;
     const unresponsive = members.find(
       (member) =>
         this.timeSinceAnswer(member) >
--- a/packages/kumquatfront/src/directory/directory.ts
+++ b/packages/kumquatfront/src/directory/directory.ts
@@ -337,6 +337,7 @@
   }
 }
 
+/** Number of cache events kept for each upstream; a later event replaces the oldest. */
 const MAXIMUM_CACHE_EVENTS = 16;
 /** Share of the rounds that contact unresponsive entries, if there are any. */
 const UNRESPONSIVE_PEER_SHARE = 0.25;
--- a/packages/kumquatfront/src/directory/publicationStore.ts
+++ b/packages/kumquatfront/src/directory/publicationStore.ts
@@ -136,8 +136,8 @@
     const rows = [...publisher.items.values()]
       .filter((stored) => stored.item.sequence > after)
       .map(
-        ({ item, publishedAt: bornAt }) =>
-          [item.sequence, item.key, Math.round(now - bornAt), item.value] as const,
+        ({ item, publishedAt }) =>
+          [item.sequence, item.key, Math.round(now - publishedAt), item.value] as const,
       );
     return {
       publisher: name,
--- a/packages/kumquatfront/src/directory/types.ts
+++ b/packages/kumquatfront/src/directory/types.ts
@@ -26,6 +26,7 @@
   readonly slots: number;
   /** Milliseconds after which the upstream is removed unless it announces itself again. */
   readonly lease: number;
+  /** True if the upstream is draining and takes no new requests. */
   readonly leaving: boolean;
 }
 
--- a/packages/kumquatfront/src/directory/upstreamTable.ts
+++ b/packages/kumquatfront/src/directory/upstreamTable.ts
@@ -12,7 +12,7 @@
   /** True from the first announcement that it is draining, for the rest of this incarnation. */
   readonly leaving: boolean;
   readonly load: types.LoadReport | undefined;
-  /** Local time at which the load was measured. */
+  /** Local time at which the load was reported. */
   readonly loadReportedAt: number;
 }
 
--- a/packages/kumquatfront/src/entryNode/guardedPlacement.ts
+++ b/packages/kumquatfront/src/entryNode/guardedPlacement.ts
@@ -40,7 +40,7 @@
   private readonly options: GuardedPlacementOptions;
   private currentRun: { readonly instance: crashDetector.CheckedInstance; readonly run: number } | undefined;
   private isChecking = false;
-  private deferredRequest: (() => void) | undefined;
+  private deferredPlacement: (() => void) | undefined;
 
   constructor(options: GuardedPlacementOptions) {
     this.options = options;
@@ -53,17 +53,17 @@
   /** Requests an upstream from the placement policy, unless the content is quarantined. */
   requestPlacement(exclude: ReadonlySet<string>, done: PlacementDone): ports.Cancel {
     let cancel: ports.Cancel = () => {
-      this.deferredRequest = undefined;
+      this.deferredPlacement = undefined;
     };
-    const sendRequest = (): void => {
+    const place = (): void => {
       cancel = this.placeUnlessQuarantined(exclude, done);
     };
     // While the previous upstream is being checked for a crash, a suspect content waits for the result; placed at once,
     // it might crash another upstream.
     if (this.isChecking && this.verdict !== 'free') {
-      this.deferredRequest = sendRequest;
+      this.deferredPlacement = place;
     } else {
-      sendRequest();
+      place();
     }
     return () => {
       cancel();
@@ -128,9 +128,9 @@
   }
 
   private onChecked(): void {
-    const { deferredRequest } = this;
+    const { deferredPlacement } = this;
     this.isChecking = false;
-    this.deferredRequest = undefined;
-    deferredRequest?.();
+    this.deferredPlacement = undefined;
+    deferredPlacement?.();
   }
 }
--- a/packages/kumquatfront/src/entryNode/instrumentedCaller.ts
+++ b/packages/kumquatfront/src/entryNode/instrumentedCaller.ts
@@ -75,7 +75,7 @@
  * @returns a caller that records latencies and forwards every call
  * @example
  * ```ts
- * const caller = instrumentedCaller.createForService({ now, burn, metrics, urgency: 'urgent', caller: streamCaller });
+ * const caller = instrumentedCaller.createForService({ now, burn, metrics, urgency: 'urgent', caller: serviceCaller });
  * ```
  */
 export function createForService(
--- a/packages/kumquatfront/src/entryNode/promptAttributes.ts
+++ b/packages/kumquatfront/src/entryNode/promptAttributes.ts
@@ -19,7 +19,7 @@
  * Hashes the prefix of a prompt.
  *
  * @param text - the prompt
- * @returns 16 hexadecimal digits, or an empty string where the prompt is shorter than a prefix
+ * @returns 16 hexadecimal digits, or an empty string if the prompt is shorter than a prefix
  * @example
  * ```ts
  * promptAttributes.prefixOf(prompt);
@@ -43,7 +43,7 @@
  * Extracts the attributes from an OpenAI-style request body.
  *
  * @param body - the parsed body
- * @returns the attributes; undefined where there is neither `prompt` nor `messages`
+ * @returns the attributes; undefined if there is neither `prompt` nor `messages`
  * @example
  * ```ts
  * promptAttributes.fromBody({ model: 'ledger', prompt: 'Reconcile these receipts' });
--- a/packages/kumquatfront/src/entryNode/refusals.ts
+++ b/packages/kumquatfront/src/entryNode/refusals.ts
@@ -34,7 +34,7 @@
  * @returns the refusal
  * @example
  * ```ts
- * caller.refused(refusals.notReady(otherEntries));
+ * caller.refuse(refusals.notReady(otherEntries));
  * ```
  */
 export function notReady(entries: readonly string[]): streams.Refusal {
@@ -55,7 +55,7 @@
  * @returns the refusal
  * @example
  * ```ts
- * caller.refused(refusals.stale(otherEntries));
+ * caller.refuse(refusals.stale(otherEntries));
  * ```
  */
 export function stale(entries: readonly string[]): streams.Refusal {
@@ -77,7 +77,7 @@
  * @returns the refusal
  * @example
  * ```ts
- * caller.refused(refusals.invalid('The body has no prompt.', 'Add "prompt".'));
+ * caller.refuse(refusals.invalid('The body has no prompt.', 'Add "prompt".'));
  * ```
  */
 export function invalid(message: string, remedy: string): streams.Refusal {
--- a/packages/kumquatfront/src/entryNode/requestHandler.ts
+++ b/packages/kumquatfront/src/entryNode/requestHandler.ts
@@ -72,7 +72,7 @@
       refuse(refusals.notReady(this.otherEntries()));
       return undefined;
     }
-    if (!configuration.isFresh() && this.isCutOff()) {
+    if (!configuration.isFresh() && this.isPartitioned()) {
       refuse(refusals.stale(this.otherEntries()));
       return undefined;
     }
@@ -84,12 +84,12 @@
   }
 
   /**
-   * True where this entry reaches at most half of the entries named in the settings, itself included. The others
+   * True if this entry reaches at most half of the entries named in the settings, itself included. The others
    * probably still receive configuration changes from control, so callers are redirected to them. An entry that reaches
    * more than half treats control as down: no change can be accepted then, and continuing to serve the last known
    * configuration reverts nothing.
    */
-  private isCutOff(): boolean {
+  private isPartitioned(): boolean {
     const { settings, services } = this.options;
     const others = settings.entries.filter((address) => address !== settings.peerAddress);
     const reached = services.find('directory').entries().length;
--- a/packages/kumquatfront/src/entryNode/types.ts
+++ b/packages/kumquatfront/src/entryNode/types.ts
@@ -59,7 +59,7 @@
 export interface GenerationRequest extends CallerRequest {
   readonly path: string;
   readonly body: Readonly<Record<string, unknown>>;
-  /** True where the caller discards the tokens received so far when the stream restarts. */
+  /** True if the caller discards the tokens received so far when the stream restarts. */
   readonly acceptsRestart: boolean;
 }
 
--- a/packages/kumquatfront/src/instances/instanceTable.ts
+++ b/packages/kumquatfront/src/instances/instanceTable.ts
@@ -188,7 +188,7 @@
     if (perSecond === previous) {
       return false;
     }
-    // Only the begin and the end of a limit are sent at once: an upstream that states a different limit in every
+    // Only the start and the end of a limit are sent at once: an upstream that states a different limit in every
     // response must not wake all entries each time.
     this.advance(perSecond === undefined || previous === undefined);
     known.revision = this.revision;
--- a/packages/kumquatfront/src/instances/instances.spec.ts
+++ b/packages/kumquatfront/src/instances/instances.spec.ts
@@ -47,7 +47,7 @@
   assert.equal(table.applyAnnouncement(announcement('i', { sequence: 2 }), 1_200), true);
 });
 
-void test.test('an update holds only later changes, and the complete table for another epoch', () => {
+void test.test('an update contains only later changes, and the complete table for another epoch', () => {
   const table = new instanceTable.InstanceTable('e');
   table.applyAnnouncement(announcement('i'), 0);
   const { revision } = table.updatesSince('', 0, 0);
--- a/packages/kumquatfront/src/orders/orderForwarder.ts
+++ b/packages/kumquatfront/src/orders/orderForwarder.ts
@@ -11,7 +11,7 @@
 import * as results from '../kernel/results.js';
 import type * as types from './types.js';
 
-/** Parameters of the call that asks an entry to forward an order. */
+/** Parameters of the call that requests an entry to forward an order. */
 export interface ForwardedOrder {
   readonly order: agreedState.Order;
   readonly timeout: number;
--- a/packages/kumquatfront/src/orders/types.ts
+++ b/packages/kumquatfront/src/orders/types.ts
@@ -11,6 +11,7 @@
   readonly longestFlight: number;
   /** Weight loads per minute that the weight store allows. */
   readonly weightLoadsPerMinute: number;
+  /** Interval at which open orders are sent. */
   readonly pumpInterval: number;
   /** Number of attempts after which an order is recorded as failed. */
   readonly attempts: number;
@@ -25,7 +26,7 @@
 /** Port through which orders are sent to upstreams. */
 export interface OrderPort {
   /**
-   * Sends an order, then reads back the newest order that the upstream has accepted. `address` is empty where the sender
+   * Sends an order, then reads back the newest order that the upstream has accepted. `address` is empty if the sender
    * does not know the address of the upstream.
    */
   send(
--- a/packages/kumquatfront/src/trafficControl/controlTestHarness.ts
+++ b/packages/kumquatfront/src/trafficControl/controlTestHarness.ts
@@ -61,7 +61,7 @@
 interface TestProcess {
   readonly address: string;
   readonly handlers: Map<string, ports.PeerHandler>;
-  alive: boolean;
+  isRunning: boolean;
 }
 
 /** Encodes a configuration for the harness decoder, which accepts a version number. */
@@ -141,8 +141,8 @@
       this.time.after(LATENCY, () => {
         const receiver = this.processes.get(address);
         if (
-          testProcess.alive &&
-          receiver?.alive === true &&
+          testProcess.isRunning &&
+          receiver?.isRunning === true &&
           !this.isPartitioned(testProcess.address, address)
         ) {
           // Serialized like on the wire, so that processes share no objects.
@@ -155,7 +155,11 @@
               );
             }
             this.time.after(LATENCY, () => {
-              if (testProcess.alive && receiver.alive && !this.isPartitioned(testProcess.address, address)) {
+              if (
+                testProcess.isRunning &&
+                receiver.isRunning &&
+                !this.isPartitioned(testProcess.address, address)
+              ) {
                 reply(result);
               }
             });
@@ -167,7 +171,7 @@
       request: (address, method, parameters, timeout, done) => {
         let open = true;
         const finish: ports.Reply = (result) => {
-          if (open && testProcess.alive) {
+          if (open && testProcess.isRunning) {
             open = false;
             done(result);
           }
@@ -198,7 +202,7 @@
   }
 
   private startProcess(address: string): TestProcess {
-    const testProcess: TestProcess = { address, handlers: new Map(), alive: true };
+    const testProcess: TestProcess = { address, handlers: new Map(), isRunning: true };
     this.processes.set(address, testProcess);
     return testProcess;
   }
@@ -208,7 +212,7 @@
     const scheduler: ports.Scheduler = {
       after: (delay, run) =>
         this.time.after(delay, () => {
-          if (testProcess.alive) {
+          if (testProcess.isRunning) {
             run();
           }
         }),
@@ -249,7 +253,7 @@
   kill(address: string): void {
     const testProcess = this.processes.get(address);
     if (testProcess !== undefined) {
-      testProcess.alive = false;
+      testProcess.isRunning = false;
     }
   }
 
@@ -268,7 +272,7 @@
 
   /** Returns the address of a running seed replica; undefined if none runs. */
   anyRunningReplica(): string | undefined {
-    return this.seeds.find((seed) => this.processes.get(seed)?.alive === true);
+    return this.seeds.find((seed) => this.processes.get(seed)?.isRunning === true);
   }
 
   private node(address: string): controlNode.ControlNode {
@@ -333,7 +337,7 @@
   leader(): string {
     const found = [...this.nodes].find(
       ([address, node]) =>
-        this.processes.get(address)?.alive === true && node.services.find('replica').mayLead(),
+        this.processes.get(address)?.isRunning === true && node.services.find('replica').mayLead(),
     );
     return found?.[0] ?? '';
   }
--- a/packages/kumquatfront/src/trafficControl/controlWatch.ts
+++ b/packages/kumquatfront/src/trafficControl/controlWatch.ts
@@ -26,7 +26,7 @@
 const UNLISTED_REPLICA_RETENTION: ports.Milliseconds = 10_000;
 
 /** Time after the first answer during which recently started replicas may not yet know all entries. */
-const ENTRY_COUNT_SETTLE_TIME: ports.Milliseconds = 1_500;
+const ENTRY_COUNT_SETTLING_DELAY: ports.Milliseconds = 1_500;
 
 /** Time for which a reported leader remains valid without being reported again. */
 const LEADER_TTL: ports.Milliseconds = 900;
@@ -43,8 +43,8 @@
   /** Called with each new configuration, in increasing order of version. */
   readonly onTraffic: (traffic: trafficTypes.VersionedText) => void;
   readonly onCoordinatorChanged: (address: string) => void;
-  /** Called with the records that a replica sends of contents that crashed upstreams. */
-  readonly onCrashRecords: (cases: readonly quarantineTypes.CrashRecord[]) => void;
+  /** Called with the crash records that a replica sends. */
+  readonly onCrashRecords: (records: readonly quarantineTypes.CrashRecord[]) => void;
   /** Called when the set of evacuated data centres changes, in increasing order of revision. */
   readonly onEvacuations: (evacuations: agreedTypes.Evacuations) => void;
   /** Called with the first answer of a replica since the replica started. */
@@ -53,7 +53,7 @@
 
 interface WatchedReplica {
   lastListedAt: ports.Milliseconds;
-  answering: boolean;
+  isResponding: boolean;
   /** Data centre of the replica; undefined before its first answer. */
   dataCentre: string | undefined;
   /** Addresses of the control replicas that this one last sent. */
@@ -63,7 +63,7 @@
   /** Epoch of the replica in its last answer; empty before its first answer. */
   epoch: string;
   /** Revision of the crash records received from the replica in this epoch. */
-  caseRevision: number;
+  crashRecordRevision: number;
   /** Incremented with each request, so that the answer to a superseded one starts no second request loop. */
   round: number;
 }
@@ -71,12 +71,12 @@
 function createWatchedReplica(lastListedAt: ports.Milliseconds): WatchedReplica {
   return {
     lastListedAt,
-    answering: false,
+    isResponding: false,
     dataCentre: undefined,
     control: [],
     entryCount: 0,
     epoch: '',
-    caseRevision: 0,
+    crashRecordRevision: 0,
     round: 0,
   };
 }
@@ -111,7 +111,7 @@
   private readonly watched = new Map<string, WatchedReplica>();
   private seeds: readonly string[];
   private readonly fetcher: trafficConfigurationFetcher.TrafficConfigurationFetcher;
-  private leader = { term: 0, address: '', namedAt: Number.NEGATIVE_INFINITY };
+  private leader = { term: 0, address: '', reportedAt: Number.NEGATIVE_INFINITY };
   private evacuationRevision = 0;
   private firstAnswerAt = Number.POSITIVE_INFINITY;
   /** Address of the replica that sends all updates immediately; empty if no replica responds. */
@@ -144,11 +144,11 @@
    */
   get coordinator(): string {
     const { timers } = this.options;
-    if (timers.now() - this.leader.namedAt < LEADER_TTL) {
+    if (timers.now() - this.leader.reportedAt < LEADER_TTL) {
       return this.leader.address;
     }
-    const answering = [...this.watched].filter(([, watched]) => watched.answering);
-    return answering.map(([address]) => address).sort()[0] ?? '';
+    const responding = [...this.watched].filter(([, watched]) => watched.isResponding);
+    return responding.map(([address]) => address).sort()[0] ?? '';
   }
 
   /**
@@ -159,17 +159,17 @@
    */
   get shareOfEntries(): number {
     const now = this.options.timers.now();
-    return now - this.firstAnswerAt < ENTRY_COUNT_SETTLE_TIME ? 0 : 1 / Math.max(1, this.entryCount);
+    return now - this.firstAnswerAt < ENTRY_COUNT_SETTLING_DELAY ? 0 : 1 / Math.max(1, this.entryCount);
   }
 
   /** Highest entry count that a replica reports; 0 while no replica responds or the counts have not settled. */
   get entryCount(): number {
     const now = this.options.timers.now();
-    if (now - this.firstAnswerAt < ENTRY_COUNT_SETTLE_TIME) {
+    if (now - this.firstAnswerAt < ENTRY_COUNT_SETTLING_DELAY) {
       return 0;
     }
-    const answering = [...this.watched.values()].filter((watched) => watched.answering);
-    return Math.max(0, ...answering.map(({ entryCount }) => entryCount));
+    const responding = [...this.watched.values()].filter((watched) => watched.isResponding);
+    return Math.max(0, ...responding.map(({ entryCount }) => entryCount));
   }
 
   /** Addresses of the watched replicas. */
@@ -199,18 +199,18 @@
   }
 
   private sendWatch(address: string, watched: WatchedReplica): void {
-    const { peers, entryStatus: describe, instances } = this.options;
+    const { peers, entryStatus, instances } = this.options;
     watched.round += 1;
     const { round } = watched;
-    const toldVersion = this.fetcher.knownVersion(address);
+    const knownVersion = this.fetcher.knownVersion(address);
     const request: methods.WatchRequest = {
-      entry: describe(),
+      entry: entryStatus(),
       ...instances.positionOf(address),
-      toldVersion,
+      toldVersion: knownVersion,
       toldTerm: this.leader.term,
       toldAtOnce: this.immediateUpdatesFrom(address),
       controlDigest: watched.control.length === 0 ? 0 : methods.replicaSetDigest(watched.control),
-      caseRevision: watched.caseRevision,
+      caseRevision: watched.crashRecordRevision,
       evacuationRevision: this.evacuationRevision,
     };
     peers.request(address, methods.methods.watch, request, WATCH_TIMEOUT, (result) => {
@@ -227,16 +227,16 @@
     if (result.ok) {
       const answer = result.val as methods.WatchAnswer;
       watched.dataCentre = answer.dataCentre;
-      const isNewlyResponding = !watched.answering;
-      watched.answering = true;
+      const isNewlyResponding = !watched.isResponding;
+      watched.isResponding = true;
       watched.control = answer.control ?? watched.control;
       this.applyAnswer(address, watched, answer);
       if (isNewlyResponding) {
         this.options.log.info('controlFound', { control: address });
         this.choosePreferredReplicas();
       }
-    } else if (watched.answering) {
-      watched.answering = false;
+    } else if (watched.isResponding) {
+      watched.isResponding = false;
       this.options.log.warn('controlLost', { control: address, reason: result.val.message });
       this.choosePreferredReplicas();
     }
@@ -273,11 +273,11 @@
    * there is one, the backup in another. Hashing by entry name distributes the entries over the replicas.
    */
   private choosePreferredReplicas(): void {
-    const { dataCentre, entryStatus: describe } = this.options;
-    const { name } = describe();
-    const answering = [...this.watched].filter(([, watched]) => watched.answering);
-    const nearest = pickByRendezvous(name, answering, (watched) => watched.dataCentre === dataCentre);
-    const others = answering.filter(([address]) => address !== nearest);
+    const { dataCentre, entryStatus } = this.options;
+    const { name } = entryStatus();
+    const responding = [...this.watched].filter(([, watched]) => watched.isResponding);
+    const nearest = pickByRendezvous(name, responding, (watched) => watched.dataCentre === dataCentre);
+    const others = responding.filter(([address]) => address !== nearest);
     const nearestDataCentre = this.watched.get(nearest)?.dataCentre;
     const backup = pickByRendezvous(name, others, (watched) => watched.dataCentre !== nearestDataCentre);
     const previous = [this.nearest, this.backup];
@@ -317,16 +317,16 @@
 
   /** Runs before a configuration is applied: a starting entry must know the quarantined contents before it serves. */
   private applyCrashRecords(address: string, watched: WatchedReplica, { cases }: methods.WatchAnswer): void {
-    const { instances, onCrashRecords: onCases, onReplicaStarted } = this.options;
+    const { instances, onCrashRecords, onReplicaStarted } = this.options;
     const { epoch } = instances.positionOf(address);
     const hasRestarted = watched.epoch !== epoch;
     if (hasRestarted) {
       watched.epoch = epoch;
-      watched.caseRevision = 0;
+      watched.crashRecordRevision = 0;
     }
     if (cases !== undefined) {
-      watched.caseRevision = Math.max(watched.caseRevision, cases.revision);
-      onCases(cases.cases);
+      watched.crashRecordRevision = Math.max(watched.crashRecordRevision, cases.revision);
+      onCrashRecords(cases.cases);
     }
     if (hasRestarted) {
       onReplicaStarted(address);
@@ -347,7 +347,7 @@
       return;
     }
     const changed = leaderAddress !== this.leader.address;
-    this.leader = { term, address: leaderAddress, namedAt: now };
+    this.leader = { term, address: leaderAddress, reportedAt: now };
     if (changed) {
       this.options.log.info('coordinatorChanged', { coordinator: leaderAddress, term });
       this.options.onCoordinatorChanged(leaderAddress);
--- a/packages/kumquatfront/src/trafficControl/dataCentreLoss.spec.ts
+++ b/packages/kumquatfront/src/trafficControl/dataCentreLoss.spec.ts
@@ -6,7 +6,7 @@
 
 import * as controlTestHarness from './controlTestHarness.js';
 
-const CATCH_UP = 6_000;
+const CATCH_UP_DURATION = 6_000;
 
 function createCluster(
   seeds: readonly string[],
@@ -22,14 +22,14 @@
 function loseAndCheck(
   harness: controlTestHarness.ControlTestHarness,
   lost: readonly string[],
-  left: string,
+  remaining: string,
 ): void {
   for (const address of lost) {
     harness.kill(address);
   }
   harness.time.advance(4_000);
-  assert.equal(harness.read(left), 7);
-  assert.equal(harness.replace(left, 9), true);
+  assert.equal(harness.read(remaining), 7);
+  assert.equal(harness.replace(remaining, 9), true);
 }
 
 void test.test('two replicas in each of three data centres tolerate the loss of any of them', () => {
@@ -54,9 +54,9 @@
     harness.loseDisk('c/1');
     harness.time.advance(1_000);
     harness.start('a/3');
-    harness.time.advance(CATCH_UP);
+    harness.time.advance(CATCH_UP_DURATION);
     harness.start('c/2');
-    harness.time.advance(CATCH_UP);
+    harness.time.advance(CATCH_UP_DURATION);
     assert.equal(harness.voters().filter((name) => name.startsWith('a')).length, 2);
     loseAndCheck(harness, ['a/1', 'a/2', 'a/3'], 'b/1');
   },
@@ -69,10 +69,10 @@
   () => {
     const harness = createCluster(['a/1', 'b/1', 'c/1'], 1);
     harness.start('a/2');
-    harness.time.advance(CATCH_UP);
+    harness.time.advance(CATCH_UP_DURATION);
     assert.deepEqual([...harness.voters()].sort(), ['a/1', 'b/1', 'c/1']);
     harness.loseDisk('a/1');
-    harness.time.advance(CATCH_UP);
+    harness.time.advance(CATCH_UP_DURATION);
     assert.deepEqual([...harness.voters()].sort(), ['a/2', 'b/1', 'c/1']);
     loseAndCheck(harness, ['b/1'], 'c/1');
   },
--- a/packages/kumquatfront/src/trafficControl/entryDirectory.spec.ts
+++ b/packages/kumquatfront/src/trafficControl/entryDirectory.spec.ts
@@ -8,10 +8,10 @@
 import * as entryDirectory from './entryDirectory.js';
 import type * as methods from './methods.js';
 
-const MOST = 64;
+const MAXIMUM_ADDRESSES = 64;
 
 /** Number of entries by data centre in a large system. */
-const LARGE = { a: 39, b: 43, c: 40, d: 37, e: 32 };
+const LARGE_SYSTEM = { a: 39, b: 43, c: 40, d: 37, e: 32 };
 
 function statusOf(
   name: string,
@@ -33,7 +33,7 @@
 }
 
 /** Number of calls at each entry when callers of a data centre choose at random from the entries returned to them. */
-function callsOf(
+function countCalls(
   directory: entryDirectory.EntryDirectory,
   dataCentre: string,
   calls: number,
@@ -41,7 +41,7 @@
   const random = seededRandom.create(9);
   const counts = new Map<string, number>();
   for (let call = 0; call < calls; call += 1) {
-    const selected = directory.choose(dataCentre, MOST, 0);
+    const selected = directory.choose(dataCentre, MAXIMUM_ADDRESSES, 0);
     const { name = '' } = selected[Math.floor(random.next() * selected.length)] ?? {};
     counts.set(name, (counts.get(name) ?? 0) + 1);
   }
@@ -52,8 +52,8 @@
 void test.test(
   'calls mostly stay in the data centre, and are distributed evenly over local and over remote entries',
   () => {
-    const directory = directoryOf(LARGE);
-    const counts = [...callsOf(directory, 'a', 20_000)];
+    const directory = directoryOf(LARGE_SYSTEM);
+    const counts = [...countCalls(directory, 'a', 20_000)];
     const local = counts.filter(([name]) => name.startsWith('a-')).map(([, count]) => count);
     const remote = counts.filter(([name]) => !name.startsWith('a-')).map(([, count]) => count);
     const sum = (values: readonly number[]): number => values.reduce((total, value) => total + value, 0);
@@ -69,11 +69,11 @@
 void test.test(
   'a caller also receives entries of other data centres, and enough of them where its own has few',
   () => {
-    const selected = directoryOf(LARGE).choose('e', MOST, 0);
+    const selected = directoryOf(LARGE_SYSTEM).choose('e', MAXIMUM_ADDRESSES, 0);
     assert.equal(selected.filter((entry) => entry.dataCentre !== 'e').length, 4);
-    assert.equal(directoryOf({ a: 2, b: 3, c: 3 }).choose('a', MOST, 0).length, 8);
-    assert.equal(directoryOf({ a: 30 }).choose('elsewhere', MOST, 0).length, 8);
-    assert.equal(directoryOf({ a: 100, b: 10 }).choose('a', MOST, 0).length, MOST);
+    assert.equal(directoryOf({ a: 2, b: 3, c: 3 }).choose('a', MAXIMUM_ADDRESSES, 0).length, 8);
+    assert.equal(directoryOf({ a: 30 }).choose('elsewhere', MAXIMUM_ADDRESSES, 0).length, 8);
+    assert.equal(directoryOf({ a: 100, b: 10 }).choose('a', MAXIMUM_ADDRESSES, 0).length, MAXIMUM_ADDRESSES);
   },
 );
 
@@ -82,9 +82,9 @@
   'a caller receives only entries through which its request bodies may pass, if there are any',
   () => {
     const directory = directoryOf({ a: 3, b: 3, c: 30 });
-    const selected = directory.choose('a', MOST, 0, (dataCentre) => dataCentre !== 'c');
+    const selected = directory.choose('a', MAXIMUM_ADDRESSES, 0, (dataCentre) => dataCentre !== 'c');
     assert.deepEqual([...new Set(selected.map((entry) => entry.dataCentre))].sort(), ['a', 'b']);
-    assert.ok(directory.choose('a', MOST, 0, () => false).length > 0);
+    assert.ok(directory.choose('a', MAXIMUM_ADDRESSES, 0, () => false).length > 0);
   },
 );
 
@@ -94,7 +94,7 @@
   directory.recordStatus(statusOf('starting', 'a', 'starting'), 0);
   directory.recordStatus(statusOf('fresh', 'a'), 2_500);
   assert.deepEqual(
-    directory.choose('a', MOST, 2_500).map(({ name }) => name),
+    directory.choose('a', MAXIMUM_ADDRESSES, 2_500).map(({ name }) => name),
     ['fresh'],
   );
   assert.deepEqual([...directory.expire(2_500)].sort(), ['a-0', 'draining', 'starting']);
--- a/packages/kumquatfront/src/trafficControl/fiveReplicas.spec.ts
+++ b/packages/kumquatfront/src/trafficControl/fiveReplicas.spec.ts
@@ -10,7 +10,7 @@
 const ENTRIES = 191;
 
 /** Time within which started replicas must be voters again. */
-const CATCH_UP = 6_000;
+const CATCH_UP_DURATION = 6_000;
 
 interface LargeCluster {
   readonly harness: controlTestHarness.ControlTestHarness;
@@ -59,7 +59,7 @@
     first.forEach((address) => {
       harness.start(address);
     });
-    harness.time.advance(CATCH_UP);
+    harness.time.advance(CATCH_UP_DURATION);
     assert.deepEqual([...harness.voters()].sort(), SEEDS);
     assertInForce(cluster, 7);
     const second = othersThan(...first).slice(0, 2);
@@ -83,7 +83,7 @@
   const second = harness.leader();
   harness.loseDisk(second);
   harness.start(second);
-  harness.time.advance(CATCH_UP);
+  harness.time.advance(CATCH_UP_DURATION);
   assert.deepEqual([...harness.voters()].sort(), SEEDS);
   assert.equal(harness.replace(harness.leader(), 8), true);
   assertInForce(cluster, 8);
@@ -106,7 +106,7 @@
   }
   harness.time.advance(2_000);
   harness.heal();
-  harness.time.advance(CATCH_UP);
+  harness.time.advance(CATCH_UP_DURATION);
   assert.equal(harness.replace(harness.leader(), 9), true);
   assertInForce(cluster, 9);
 });
--- a/packages/kumquatfront/src/trafficControl/instanceGossip.ts
+++ b/packages/kumquatfront/src/trafficControl/instanceGossip.ts
@@ -82,9 +82,9 @@
   /** Removes instances whose addresses no longer accept connections, as found by an entry. */
   removeCrashed(identities: readonly string[]): void {
     const { table, log, notifyEntries, notifyCoordinator } = this.options;
-    const dropped = identities.filter((identity) => table.removeCrashed(identity, this.now()));
-    if (dropped.length > 0) {
-      log.info('instancesEnded', { instances: dropped.join(' ') });
+    const removed = identities.filter((identity) => table.removeCrashed(identity, this.now()));
+    if (removed.length > 0) {
+      log.info('instancesEnded', { instances: removed.join(' ') });
       notifyEntries();
       notifyCoordinator();
     }
--- a/packages/kumquatfront/src/trafficControl/openWatches.spec.ts
+++ b/packages/kumquatfront/src/trafficControl/openWatches.spec.ts
@@ -20,7 +20,7 @@
     trafficVersion: 1,
     fresh: true,
     leaderTerm: 1,
-    caseRevision: 0,
+    crashRecordRevision: 0,
     evacuationRevision: 0,
   };
   readonly watches = new openWatches.OpenWatches({
@@ -50,7 +50,7 @@
   }
 
   /** Watches continuously as an entry, and records the times of the answers. */
-  recordAnswerTimes(toldAtOnce: methods.ImmediateUpdates): ports.Milliseconds[] {
+  recordAnswerTimes(immediateUpdates: methods.ImmediateUpdates): ports.Milliseconds[] {
     const answeredAt: ports.Milliseconds[] = [];
     const position = { epoch: this.table.epoch, revision: this.table.currentRevision };
     const received = { version: this.state.trafficVersion, term: this.state.leaderTerm, evacuations: 0 };
@@ -62,7 +62,7 @@
         ...position,
         toldVersion: received.version,
         toldTerm: received.term,
-        toldAtOnce,
+        toldAtOnce: immediateUpdates,
         controlDigest: 0,
         caseRevision: 0,
         evacuationRevision: received.evacuations,
--- a/packages/kumquatfront/src/trafficControl/openWatches.ts
+++ b/packages/kumquatfront/src/trafficControl/openWatches.ts
@@ -28,7 +28,7 @@
   readonly trafficVersion: number;
   readonly fresh: boolean;
   /** Increases with every change of the crash records. */
-  readonly caseRevision: number;
+  readonly crashRecordRevision: number;
   /** Revision of the evacuated data centres. */
   readonly evacuationRevision: number;
   /** Term of the leader that the replica follows; 0 if no leader is known. */
@@ -118,7 +118,7 @@
     if (request.epoch !== table.epoch) {
       return true;
     }
-    const newCrashRecords = request.caseRevision < state.caseRevision;
+    const newCrashRecords = request.caseRevision < state.crashRecordRevision;
     return (
       request.toldAtOnce !== 'leaders' &&
       (newTraffic || newCrashRecords || request.revision < table.immediateRevision)
--- a/packages/kumquatfront/src/trafficControl/operatorCalls.ts
+++ b/packages/kumquatfront/src/trafficControl/operatorCalls.ts
@@ -22,10 +22,10 @@
   readonly peerAddress: string;
   readonly decode: trafficTypes.DecodeTraffic;
   /** Minimum number of voters before a change is accepted. */
-  readonly leastVoters: number;
-  /** Minimum number of voters while more replicas are about to join. */
-  readonly wantedVoters: number;
-  /** Whether replicas are about to become voters. */
+  readonly minimumVoters: number;
+  /** Number of voters that the tolerated losses require; the minimum while more replicas are about to join. */
+  readonly requiredVoters: number;
+  /** True if a replica is about to become a voter. */
   readonly hasPendingVoter: () => boolean;
   /** Names of all data centres; if empty, any name is accepted for an evacuation. */
   readonly dataCentres: readonly string[];
@@ -140,11 +140,11 @@
   }
 
   private proposeLocally(command: agreedTypes.Command, done: ports.Reply): void {
-    const { replica: own, leastVoters, wantedVoters, hasPendingVoter, onChangeSettled } = this.options;
+    const { replica: own, minimumVoters, requiredVoters, hasPendingVoter, onChangeSettled } = this.options;
     const voters = own.status().members.filter((member) => member.role === 'voter').length;
     // Right after bootstrap too few replicas hold the log to survive the tolerated losses, so a change committed then
     // could be lost. While replicas are joining, wait for all that the tolerated losses require.
-    const needed = hasPendingVoter() ? wantedVoters : leastVoters;
+    const needed = hasPendingVoter() ? requiredVoters : minimumVoters;
     if (voters < needed) {
       const remedy = 'Retry in a second.';
       const message = `Only ${voters} of the ${needed} required voters have joined.`;
--- a/packages/kumquatfront/src/trafficControl/trafficControl.spec.ts
+++ b/packages/kumquatfront/src/trafficControl/trafficControl.spec.ts
@@ -10,7 +10,7 @@
 const SEEDS = ['c1', 'c2', 'c3'];
 
 /** Time within which a started replica must be a voter. */
-const CATCH_UP = 4_000;
+const CATCH_UP_DURATION = 4_000;
 
 function createCluster(): controlTestHarness.ControlTestHarness {
   const harness = new controlTestHarness.ControlTestHarness(SEEDS);
@@ -83,7 +83,7 @@
     harness.loseDisk(lost);
     harness.time.advance(200);
     harness.start(lost);
-    harness.time.advance(CATCH_UP);
+    harness.time.advance(CATCH_UP_DURATION);
     assert.deepEqual([...harness.voters()].sort(), SEEDS);
   }
   harness.kill('c1');
@@ -99,7 +99,7 @@
   harness.loseDisk('c3');
   harness.time.advance(1_000);
   harness.start('c4');
-  harness.time.advance(CATCH_UP);
+  harness.time.advance(CATCH_UP_DURATION);
   assert.deepEqual([...harness.voters()].sort(), ['c1', 'c2', 'c4']);
   harness.kill(harness.leader());
   harness.time.advance(4_000);
@@ -110,7 +110,7 @@
 void test.test('a voter that was removed during a partition rejoins', () => {
   const harness = createCluster();
   harness.start('c4');
-  harness.time.advance(CATCH_UP);
+  harness.time.advance(CATCH_UP_DURATION);
   assert.equal(harness.voters().length, 4);
   const removed = SEEDS.find((seed) => seed !== harness.leader()) ?? '';
   for (const other of [...SEEDS, 'c4'].filter((seed) => seed !== removed)) {
--- a/packages/kumquatfront/src/trafficControl/trafficControl.ts
+++ b/packages/kumquatfront/src/trafficControl/trafficControl.ts
@@ -43,12 +43,12 @@
   /** Margin by which all senders together may exceed what a cold upstream tolerates. */
   readonly warmUpTolerance: warmUpBounds.WarmUpTolerance;
   /** Minimum number of voters before a change is accepted. */
-  readonly leastVoters: number;
-  /** Minimum number of voters while more replicas are about to join. */
-  readonly wantedVoters: number;
-  /** Whether replicas are about to become voters. */
+  readonly minimumVoters: number;
+  /** Number of voters that the tolerated losses require; the minimum while more replicas are about to join. */
+  readonly requiredVoters: number;
+  /** True if a replica is about to become a voter. */
   readonly hasPendingVoter: () => boolean;
-  /** Enabled placement mechanisms; all if omitted. */
+  /** Placement features in use; all if omitted. */
   readonly isEnabled?: placementFeatures.IsEnabled;
 }
 
@@ -316,7 +316,7 @@
     return {
       trafficVersion: state.traffic?.version ?? 0,
       fresh,
-      caseRevision: this.crashRecords.revision,
+      crashRecordRevision: this.crashRecords.revision,
       evacuationRevision: state.evacuations.revision,
       leaderTerm: leader === undefined ? 0 : term,
     };
@@ -328,7 +328,7 @@
     const control = status.members.map((member) => member.address);
     const isCurrent = request.epoch === this.table.epoch && request.revision === this.table.currentRevision;
     const { evacuations } = state;
-    const cases = this.crashRecords.updatesSince(
+    const crashRecords = this.crashRecords.updatesSince(
       request.epoch === this.table.epoch ? request.caseRevision : 0,
     );
     return {
@@ -342,7 +342,7 @@
       leaderTerm: status.term,
       leaderAddress: status.fresh ? (status.leader?.address ?? '') : '',
       entryCount: this.entries.size,
-      ...(cases !== undefined && { cases }),
+      ...(crashRecords !== undefined && { cases: crashRecords }),
       ...(evacuations.revision > request.evacuationRevision && { evacuations }),
     };
   }
@@ -364,8 +364,8 @@
     const homes = this.routes()?.homesOf(caller.host) ?? [];
     const region = regions.get(caller.dataCentre) ?? caller.region;
     const mayPass = (dataCentre: string): boolean => {
-      const there = regions.get(dataCentre) ?? '';
-      return homes.length === 0 || there === region || homes.every((home) => home.includes(there));
+      const transit = regions.get(dataCentre) ?? '';
+      return homes.length === 0 || transit === region || homes.every((home) => home.includes(transit));
     };
     return this.entries.choose(caller.dataCentre, limit, timers.now(), mayPass);
   }
--- a/packages/scenarios/src/scripts/controlSafeguards.ts
+++ b/packages/scenarios/src/scripts/controlSafeguards.ts
@@ -187,8 +187,8 @@
   {
     name: 'a restarted voter that hears from a leader gives its vote to nobody',
     file: 'consensus/election.js',
-    find: 'const isLeaderAlive = unopposed ? this.host.hasLeaderContact()',
-    replace: 'const isLeaderAlive = unopposed ? false',
+    find: 'const isLeaderAlive = isLeaderlessElection ? this.host.hasLeaderContact()',
+    replace: 'const isLeaderAlive = isLeaderlessElection ? false',
     scenario: 'spec:consensus/replica',
   },
   {
--- a/packages/scenarios/src/scripts/quarantineSafeguards.ts
+++ b/packages/scenarios/src/scripts/quarantineSafeguards.ts
@@ -49,7 +49,7 @@
   {
     name: 'entries are told of cases at once',
     file: 'trafficControl/openWatches.js',
-    find: 'const newCrashRecords = request.caseRevision < state.caseRevision;',
+    find: 'const newCrashRecords = request.caseRevision < state.crashRecordRevision;',
     replace: 'const newCrashRecords = false;',
     scenario: SYSTEM,
   },
--- a/packages/scenarios/src/scripts/relaySafeguards.ts
+++ b/packages/scenarios/src/scripts/relaySafeguards.ts
@@ -177,8 +177,8 @@
   {
     name: 'a read is confirmed by answers to messages sent after it',
     file: 'consensus/leadership.js',
-    find: '(entry) => acknowledgedRound > entry.afterRound',
-    replace: '(entry) => acknowledgedRound >= 0',
+    find: '(confirmation) => acknowledgedRound > confirmation.afterRound',
+    replace: '(confirmation) => acknowledgedRound >= 0',
     scenario: 'spec:consensus/replica',
   },
   {
@@ -310,7 +310,7 @@
   {
     name: 'an entry uses no share of the repeats before it knows how many share them',
     file: 'trafficControl/controlWatch.js',
-    find: 'return now - this.firstAnswerAt < ENTRY_COUNT_SETTLE_TIME ? 0 : 1',
+    find: 'return now - this.firstAnswerAt < ENTRY_COUNT_SETTLING_DELAY ? 0 : 1',
     replace: 'return 1',
     scenario: 'spec:trafficControl/trafficControl',
   },
@@ -345,8 +345,8 @@
   {
     name: 'no change is taken while the replicas that the tolerated losses need are joining',
     file: 'trafficControl/operatorCalls.js',
-    find: 'hasPendingVoter() ? wantedVoters : leastVoters',
-    replace: 'leastVoters',
+    find: 'hasPendingVoter() ? requiredVoters : minimumVoters',
+    replace: 'minimumVoters',
     scenario: 'spec:trafficControl/fiveReplicas',
   },
 ];
--- a/packages/scenarios/src/scripts/servingSafeguards.ts
+++ b/packages/scenarios/src/scripts/servingSafeguards.ts
@@ -151,7 +151,7 @@
   {
     name: 'serving goes on while all of control is down',
     file: 'entryNode/requestHandler.js',
-    find: 'if (!configuration.isFresh() && this.isCutOff()) {',
+    find: 'if (!configuration.isFresh() && this.isPartitioned()) {',
     replace: 'if (!configuration.isFresh()) {',
     scenario: 'control-all-down-and-back',
   },
