--- a/packages/kumquatfront/src/agreedState/claimTable.ts
+++ b/packages/kumquatfront/src/agreedState/claimTable.ts
@@ -31,8 +31,8 @@
     if (known === undefined) {
       return this.grant(key, command, stamp);
     }
-    // An attempt that was abandoned before its claim arrived must not be granted afterwards: its caller was told
-    // that the call was not run. A new attempt may run it.
+    // An attempt that was abandoned before its claim arrived must not be granted afterwards: its caller has already
+    // received the answer that the call was not run. A new attempt may run it.
     if (known.state === 'notRun') {
       return known.attempt === command.attempt ? { state: 'unknown' } : this.regrant(key, command, stamp);
     }
--- a/packages/kumquatfront/src/instances/instanceTable.ts
+++ b/packages/kumquatfront/src/instances/instanceTable.ts
@@ -98,7 +98,7 @@
         this.removePermanently(identity, now);
         return false;
       }
-      if (this.removed.some((entry) => entry.identity === identity && entry.final)) {
+      if (this.removed.some((removal) => removal.identity === identity && removal.final)) {
         return false;
       }
       if (age > this.lease && announcement.state === 'ready') {
@@ -114,7 +114,7 @@
         coldUntil,
         revision: this.revision,
       });
-      this.removed = this.removed.filter((entry) => entry.identity !== identity);
+      this.removed = this.removed.filter((removal) => removal.identity !== identity);
       return true;
     }
     if (announcements.isConflicting(known.announcement, announcement)) {
@@ -305,7 +305,7 @@
   isDrainingOrRemoved(identity: string): boolean {
     const known = this.entries.get(identity);
     return known === undefined
-      ? this.removed.some((entry) => entry.identity === identity)
+      ? this.removed.some((removal) => removal.identity === identity)
       : known.announcement.state === 'leaving';
   }
 
@@ -325,9 +325,9 @@
   }
 
   private discardExpiredRemovals(now: number): void {
-    const discarded = this.removed.filter((entry) => now - entry.removedAt >= REMOVAL_RETENTION);
+    const discarded = this.removed.filter((removal) => now - removal.removedAt >= REMOVAL_RETENTION);
     this.discardedRevision = Math.max(this.discardedRevision, ...discarded.map(({ revision }) => revision));
-    this.removed = this.removed.filter((entry) => now - entry.removedAt < REMOVAL_RETENTION);
+    this.removed = this.removed.filter((removal) => now - removal.removedAt < REMOVAL_RETENTION);
   }
 
   private discardExpiredNames(now: number): void {
@@ -373,7 +373,9 @@
         now,
         (identity) => isComplete || (this.entries.get(identity)?.revision ?? 0) > revision,
       ),
-      removed: this.removed.filter((entry) => entry.revision > revision).map((entry) => entry.identity),
+      removed: this.removed
+        .filter((removal) => removal.revision > revision)
+        .map((removal) => removal.identity),
     };
   }
 }
--- a/packages/kumquatfront/src/instances/instanceView.ts
+++ b/packages/kumquatfront/src/instances/instanceView.ts
@@ -256,14 +256,14 @@
    */
   recordTerminationNotice(identity: string, now: number): boolean {
     const known = this.instances.get(identity);
-    const isChanged = known?.state === 'ready';
+    const wasReady = known?.state === 'ready';
     this.terminationNotices.set(identity, now);
-    if (isChanged) {
+    if (wasReady) {
       this.instances.set(identity, { ...known, state: 'leaving' });
       this.newestByName.set(known.name, { ...known, state: 'leaving' });
       this.readyByService.clear();
     }
-    return isChanged;
+    return wasReady;
   }
 
   private discardExpiredNotices(now: number): void {
--- a/packages/kumquatfront/src/trafficControl/instanceGossip.ts
+++ b/packages/kumquatfront/src/trafficControl/instanceGossip.ts
@@ -24,7 +24,7 @@
 /** Applies and propagates instance updates at one control replica. */
 export class InstanceGossip {
   private readonly options: InstanceGossipOptions;
-  private readonly unsent = new Set<string>();
+  private readonly unsentIdentities = new Set<string>();
 
   constructor(options: InstanceGossipOptions) {
     this.options = options;
@@ -37,7 +37,7 @@
   /** Applies an instance's announcement; updates to replicas and entries have been triggered when this returns. */
   announce(announcement: instanceTypes.Announcement): void {
     const changed = this.options.table.applyAnnouncement(announcement, this.now());
-    this.unsent.add(announcement.identity);
+    this.unsentIdentities.add(announcement.identity);
     if (changed) {
       this.options.log.info('instanceHeard', {
         instance: announcement.identity,
@@ -137,7 +137,7 @@
 
   private propagateDraining(identity: string): void {
     this.options.log.info('instanceLeaves', { instance: identity });
-    this.unsent.add(identity);
+    this.unsentIdentities.add(identity);
     this.propagate();
   }
 
@@ -149,11 +149,11 @@
 
   private sendGossip(): void {
     const { peers, memberAddresses, peerAddress, table } = this.options;
-    if (this.unsent.size === 0) {
+    if (this.unsentIdentities.size === 0) {
       return;
     }
-    const records = table.records(this.now(), (identity) => this.unsent.has(identity));
-    this.unsent.clear();
+    const records = table.records(this.now(), (identity) => this.unsentIdentities.has(identity));
+    this.unsentIdentities.clear();
     for (const address of memberAddresses()) {
       if (address !== peerAddress) {
         peers.notify(address, methods.methods.gossip, { records } satisfies methods.Gossip);
--- a/packages/kumquatfront/src/trafficControl/trafficControl.ts
+++ b/packages/kumquatfront/src/trafficControl/trafficControl.ts
@@ -79,7 +79,7 @@
   private readonly operatorCalls: operatorCalls.OperatorCalls;
   /** Data centres that were evacuated after the last applied command. */
   private evacuated: readonly string[] = [];
-  private decoded: routeTable.RouteTable | undefined;
+  private cachedRoutes: routeTable.RouteTable | undefined;
 
   constructor(options: TrafficControlOptions) {
     this.options = options;
@@ -249,16 +249,16 @@
   private routes(): routeTable.RouteTable | undefined {
     const { state, decode, log } = this.options;
     const traffic = state.traffic;
-    if (traffic === undefined || this.decoded?.version === traffic.version) {
-      return this.decoded;
+    if (traffic === undefined || this.cachedRoutes?.version === traffic.version) {
+      return this.cachedRoutes;
     }
     const decoded = decode(traffic.text);
     if (decoded.err) {
       log.error('trafficUnreadable', { version: traffic.version, reason: failures.describe(decoded.val) });
-      return this.decoded;
+      return this.cachedRoutes;
     }
-    this.decoded = new routeTable.RouteTable(decoded.val);
-    return this.decoded;
+    this.cachedRoutes = new routeTable.RouteTable(decoded.val);
+    return this.cachedRoutes;
   }
 
   /** Validates and commits an operator's configuration; see `operatorCalls`. */
