--- a/packages/benchmarks/src/policy/decisionCost.ts
+++ b/packages/benchmarks/src/policy/decisionCost.ts
@@ -34,14 +34,14 @@
  * Measures the mean time of urgent and of patient decisions.
  *
  * @param upstreams - number of engines
- * @param runningEach - generations in flight on each engine
+ * @param runningPerEngine - generations in flight on each engine
  * @returns mean times in microseconds
  * @example
  * ```ts
  * decisionCost.measure(600, 1);
  * ```
  */
-export function measure(upstreams: number, runningEach: number): DecisionCost {
+export function measure(upstreams: number, runningPerEngine: number): DecisionCost {
   const { clock } = kumquatfront.systemTime;
   const timers = kumquatfront.timerService.create(clock, { after: () => () => undefined });
   const table = new kumquatfront.upstreamTable.UpstreamTable();
@@ -69,7 +69,7 @@
     ...{ requestId, urgency, account: 'a', deployment: 'd', upstreams: 'pool=llm', kind: 'engine' },
     ...{ promptTokens: 400, prefix: '', estimateKeys: ['a/m/t', 'm/t', 'm'], exclude: new Set<string>() },
   });
-  for (let position = 0; position < upstreams * runningEach; position += 1) {
+  for (let position = 0; position < upstreams * runningPerEngine; position += 1) {
     placement.importDispatch({
       requestId: `running-${position}`,
       upstream: `engine-${position % upstreams}`,
@@ -91,7 +91,7 @@
   measureCost('patient');
   return {
     upstreams,
-    inFlight: upstreams * runningEach,
+    inFlight: upstreams * runningPerEngine,
     urgent: measureCost('urgent'),
     patient: measureCost('patient'),
   };
--- a/packages/benchmarks/src/slopes/memory.ts
+++ b/packages/benchmarks/src/slopes/memory.ts
@@ -73,10 +73,10 @@
   return [table, store];
 }
 
-function createLedgerWithDispatches(): unknown {
-  const ledger = new kumquatfront.dispatchTracker.DispatchTracker();
+function createTrackerWithDispatches(): unknown {
+  const tracker = new kumquatfront.dispatchTracker.DispatchTracker();
   for (const position of itemIndexes()) {
-    ledger.recordDispatch(
+    tracker.recordDispatch(
       {
         requestId: `request-${position}`,
         account: 'a',
@@ -93,7 +93,7 @@
       0,
     );
   }
-  return ledger;
+  return tracker;
 }
 
 function createStateWithClaims(): unknown {
@@ -139,7 +139,7 @@
   return {
     account: heapPerItem(createResolverWithAccounts),
     upstream: heapPerItem(createTableWithUpstreams),
-    dispatch: heapPerItem(createLedgerWithDispatches),
+    dispatch: heapPerItem(createTrackerWithDispatches),
     claim: heapPerItem(createStateWithClaims),
     configurationObject: heapPerItem(createStateWithObjects),
   };
--- a/packages/command/src/explain/cause.ts
+++ b/packages/command/src/explain/cause.ts
@@ -47,7 +47,7 @@
       `${fields.upstream ?? '?'} (found by ${process} at ${time}, ${fields.sign ?? '?'})`,
   );
   const quarantinedAt = lines.find((line) => line.event === 'quarantined')?.time;
-  const crashList = crashes.length === 0 ? 'none of these logs tells of them' : crashes.join(', ');
+  const crashList = crashes.length === 0 ? 'none of these logs contains their records' : crashes.join(', ');
   const when = quarantinedAt === undefined ? '' : ` Quarantined at ${quarantinedAt}.`;
   const ownRun = ran ? 'It had run before; it was not sent on.' : 'It was turned away; nothing ran.';
   return `Upstreams have ended under the same content: ${crashList}.${when} ${ownRun}`;
@@ -61,7 +61,7 @@
   const version = lastLineOf(lines, 'trafficInForce')?.fields.version ?? 'none';
   const causes: Record<string, string> = {
     noConfiguration: 'The entry had just started and had no configuration yet.',
-    draining: 'The entry was being stopped, and takes no generation that could outlast it.',
+    draining: 'The entry was draining and accepted no generation that might not finish before it stops.',
     noRoute: `The configuration in force at the entry, version ${version}, has no such route.`,
     unknownKey: `The configuration in force at the entry, version ${version}, has no such key.`,
   };
@@ -139,10 +139,11 @@
 }
 
 const OTHER_OUTCOMES: Readonly<Record<string, string>> = {
-  callerGone: 'The caller went away before the answer was complete.',
-  timeoutNotRun: 'The time was over before there was a place; nothing ran.',
-  timeoutUnknown: 'The time was over and the upstream had not answered; whether it ran is unknown.',
-  outcomeUnknown: 'The upstream broke off before it answered; it may have run, so it was not sent again.',
+  callerGone: 'The caller disconnected before the answer was complete.',
+  timeoutNotRun: 'The timeout expired before the request was placed; nothing ran.',
+  timeoutUnknown: 'The timeout expired before the upstream answered; whether the request ran is unknown.',
+  outcomeUnknown:
+    'The connection to the upstream broke before it answered; the request may have run, so it was not sent again.',
 };
 
 /**
@@ -161,7 +162,7 @@
   const end = lastLineOf(lines, 'requestEnded');
   if (end === undefined) {
     return refusal === undefined
-      ? 'Its end is in none of these logs: add those of all entries, or its process was killed.'
+      ? 'None of these logs contains the end of the request: add the logs of all entries; otherwise its process was killed.'
       : describeRefusal(lines, refusal);
   }
   const { outcome = '' } = end.fields;
@@ -172,7 +173,7 @@
     return describeOverload(lines, end);
   }
   if (outcome === 'noUpstream') {
-    return `No instance of the service could be sent it: ${end.fields.reason ?? 'no reason logged'}.`;
+    return `No instance of the service could receive the request: ${end.fields.reason ?? 'no reason logged'}.`;
   }
   if (
     outcome === 'quarantined' ||
--- a/packages/command/src/ledger/requestEnding.ts
+++ b/packages/command/src/ledger/requestEnding.ts
@@ -77,7 +77,7 @@
 ): { ending: Ending; cause: string } {
   const { outcome = '', reason = '', status = '200' } = fields;
   if (outcome === 'callerGone') {
-    return { ending: 'callerLeft', cause: 'the caller went away' };
+    return { ending: 'callerLeft', cause: 'the caller disconnected' };
   }
   if (NOT_CONFIGURED_OUTCOMES.has(outcome)) {
     return { ending: 'notOwed', cause: outcome };
--- a/packages/command/src/localCommands.ts
+++ b/packages/command/src/localCommands.ts
@@ -21,11 +21,11 @@
   file: string,
 ): kumquatfront.results.Result<commandRunner.CommandOutput, kumquatfront.failures.Failure> {
   return inputFile.read(file).andThen((text) => {
-    const { parseEntrySettings: readEntry, parseControlSettings: readControl } = kumquatfront.settingsLoader;
+    const { parseEntrySettings, parseControlSettings } = kumquatfront.settingsLoader;
     const isControl = text.includes('"control":') && !text.includes('"entry":');
     const checked = isControl
-      ? readControl(text, file).map(() => 'control')
-      : readEntry(text, file).map(() => 'entry');
+      ? parseControlSettings(text, file).map(() => 'control')
+      : parseEntrySettings(text, file).map(() => 'entry');
     return checked.map((role) => ({ rows: [[`${file}: valid settings of ${role}`]], value: { file, role } }));
   });
 }
--- a/packages/command/src/operatorClient.ts
+++ b/packages/command/src/operatorClient.ts
@@ -1,6 +1,6 @@
 /**
- * HTTP client for the operator API of control: reads and changes configuration. A request that gets no answer is
- * retried on the next replica, a change with the same change id, so that it is made only once.
+ * HTTP client for the operator API of control. A request without an answer is retried on the next replica. A retried
+ * change keeps its change id, so that it is applied only once.
  */
 import * as kumquatfront from 'kumquatfront';
 import * as undici from 'undici';
--- a/packages/command/src/systemCommands.ts
+++ b/packages/command/src/systemCommands.ts
@@ -198,7 +198,7 @@
  * @returns the data centres that are evacuated after the command
  * @example
  * ```ts
- * await systemCommands.sendDataCentreCommand(context, 'evacuate', 'perth-a');
+ * await systemCommands.changeEvacuation(context, 'evacuate', 'perth-a');
  * ```
  */
 export async function changeEvacuation(
--- a/packages/daemons/src/settingsFile.ts
+++ b/packages/daemons/src/settingsFile.ts
@@ -10,16 +10,16 @@
  * Parses the command line and loads the settings file; exits with an error message if either is invalid.
  *
  * @param daemon - name of the daemon, for the help text
- * @param read - parses and validates the text of the file
+ * @param parse - parses and validates the text of the file
  * @returns the validated settings
  * @example
  * ```ts
- * const settings = settingsFile.load('kumquatfront-entry', kumquatfront.settingsLoader.readEntry);
+ * const settings = settingsFile.load('kumquatfront-entry', kumquatfront.settingsLoader.parseEntrySettings);
  * ```
  */
 export function load<Settings>(
   daemon: string,
-  read: (
+  parse: (
     text: string,
     subject: string,
   ) => kumquatfront.results.Result<Settings, kumquatfront.failures.Failure>,
@@ -40,7 +40,7 @@
       ),
     );
   }
-  const settings = read(fs.readFileSync(file, 'utf8'), file);
+  const settings = parse(fs.readFileSync(file, 'utf8'), file);
   if (settings.err) {
     exitWithFailure(settings.val);
   }
@@ -53,7 +53,7 @@
  * @param failure - the failure
  * @example
  * ```ts
- * settingsFile.fail(failure);
+ * settingsFile.exitWithFailure(failure);
  * ```
  */
 export function exitWithFailure(failure: kumquatfront.failures.Failure): never {
--- a/packages/scenarios/src/language/actions.ts
+++ b/packages/scenarios/src/language/actions.ts
@@ -117,7 +117,7 @@
 };
 
 /** `evacuate centre-1`, `restore centre-1`: sends an operator command to the leader. */
-function orderDataCentre(type: kumquatfront.agreedTypes.DataCentreCommand['type']): Action {
+function createEvacuationAction(type: kumquatfront.agreedTypes.DataCentreCommand['type']): Action {
   return (current, line) => {
     const dataCentre = word(line, 0);
     const [leader = ''] = current.world.leaders();
@@ -183,8 +183,8 @@
   change: submitChange,
   changes: submitBulkChanges,
   order: proposeOrder,
-  evacuate: orderDataCentre('evacuate'),
-  restore: orderDataCentre('restore'),
+  evacuate: createEvacuationAction('evacuate'),
+  restore: createEvacuationAction('restore'),
   kill: (current, line) => {
     const name = resolveHostName(current, word(line, 0));
     current.world.record(`-- ${name} is killed`);
--- a/packages/scenarios/src/language/expectations.ts
+++ b/packages/scenarios/src/language/expectations.ts
@@ -9,10 +9,10 @@
 
 const { word, numberOption } = scenarioLine;
 
-function compare(what: string, actual: unknown, expected: unknown): string | undefined {
+function compare(subject: string, actual: unknown, expected: unknown): string | undefined {
   return String(actual) === String(expected)
     ? undefined
-    : `${what} is ${String(actual)}, expected ${String(expected)}`;
+    : `${subject} is ${String(actual)}, expected ${String(expected)}`;
 }
 
 /** `expect stream r1 whole restarts=1 connections=2` or `expect stream r1 refused interrupted` */
@@ -128,10 +128,10 @@
 }
 
 function mismatchOf(current: session.Session, line: scenarioLine.Line): string | undefined {
-  const [what = '', ...words] = line.words;
-  const expectation = expectations[what];
+  const [name = '', ...words] = line.words;
+  const expectation = expectations[name];
   if (expectation === undefined) {
-    throw new scenarioLine.ScenarioError(line, `unknown expectation "${what}"`);
+    throw new scenarioLine.ScenarioError(line, `unknown expectation "${name}"`);
   }
   return expectation(current, { ...line, words });
 }
--- a/packages/scenarios/src/language/session.ts
+++ b/packages/scenarios/src/language/session.ts
@@ -47,14 +47,14 @@
   }
 
   /** Advances the time until a condition holds; throws when the timeout expires. */
-  waitUntil(what: string, holds: () => boolean): void {
+  waitUntil(description: string, condition: () => boolean): void {
     for (let waited = 0; waited < WAIT_TIMEOUT; waited += WAIT_STEP) {
-      if (holds()) {
+      if (condition()) {
         return;
       }
       this.world.time.advance(WAIT_STEP);
     }
-    throw new Error(`Timed out after ${WAIT_TIMEOUT} ms waiting until ${what}.`);
+    throw new Error(`Timed out after ${WAIT_TIMEOUT} ms waiting until ${description}.`);
   }
 
   /** Waits until all replicas vote, applies the base configuration and additional drafts, and waits until all are in force. */
--- a/packages/scenarios/src/scripts/backPressureSafeguards.ts
+++ b/packages/scenarios/src/scripts/backPressureSafeguards.ts
@@ -1,89 +1,89 @@
 /**
- * Safeguards of upstreams that tell their senders to send less.
+ * Safeguards of rate limits, pauses and termination notices of upstreams.
  */
 import type * as types from './types.js';
 
-/** Each with what must fail without it. */
+/** Safeguards, each with the scenario or spec that must fail without it. */
 export const backPressureSafeguards: readonly types.Safeguard[] = [
   {
-    name: 'an upstream is sent no more than its rate limit',
+    name: 'requests to an upstream stay within its rate limit',
     file: 'backPressure/sendPolicy.js',
     find: 'return this.rateLimitExclusionOf(instance, now);',
     replace: 'return undefined;',
     scenario: 'spec:backPressure/rateLimitedUpstream',
   },
   {
-    name: 'an upstream that asks for a pause is left alone',
+    name: 'a paused upstream receives no requests',
     file: 'backPressure/sendPolicy.js',
     find: 'if (now < pausedUntil) {',
     replace: 'if (false) {',
     scenario: 'spec:backPressure/pausedUpstream',
   },
   {
-    name: 'an upstream that says in an answer that it leaves gets nothing new',
+    name: 'an upstream whose response carries a termination notice receives no new requests',
     file: 'backPressure/signalRegistry.js',
     find: 'if (leaving && this.options.recordTerminationNotice(instance.identity)) {',
     replace: 'if (false) {',
     scenario: 'spec:backPressure/pausedUpstream',
   },
   {
-    name: 'an upstream that left does not come back by hearsay',
+    name: 'a termination notice is not undone by an older record of the instance',
     file: 'instances/instanceView.js',
     find: ' || this.terminationNotices.has(record.identity)',
     replace: '',
     scenario: 'spec:instances/notices',
   },
   {
-    name: 'the gate holds what was chosen before an upstream gave notice',
+    name: 'a request whose upstream was selected before its termination notice is not sent',
     file: 'backPressure/sendPolicy.js',
     find: 'if (instances.isTerminating(instance.identity)) {',
     replace: 'if (false) {',
     scenario: 'spec:backPressure/sendPolicy',
   },
   {
-    name: 'a generation goes on from its copy though the engine asks for a pause',
+    name: 'a generation resumes from its memory copy although the engine is paused',
     file: 'quarantine/guardedUpstreams.js',
     find: "return copy !== undefined && reason !== 'evacuated';",
     replace: 'return false;',
     scenario: 'spec:backPressure/sendPolicy',
   },
   {
-    name: 'entries share a rate limit',
+    name: 'entries divide a rate limit among themselves',
     file: 'backPressure/sendPolicy.js',
     find: 'rateLimitShare.requestsPerWindow(perSecond, entries)',
     replace: 'entries * rateLimitShare.requestsPerWindow(perSecond, 1)',
     scenario: 'spec:backPressure/rateLimitedUpstream',
   },
   {
-    name: 'entries without a share find out whether a limit is over',
+    name: 'entries without a share of a rate limit probe whether it was lifted',
     file: 'backPressure/sendPolicy.js',
     find: ' || this.mayProbe(identity, entries, now)',
     replace: '',
     scenario: 'spec:backPressure/sendPolicy',
   },
   {
-    name: 'an answer to an earlier request does not lift a limit',
+    name: 'the response to an earlier request does not lift a rate limit',
     file: 'backPressure/signalRegistry.js',
     find: 'known?.perSecond !== undefined && sentAt >= known.receivedAt',
     replace: 'known?.perSecond !== undefined',
     scenario: 'spec:backPressure/signalRegistry',
   },
   {
-    name: 'entries tell each other of rate limits',
+    name: 'entries publish rate limits to each other',
     file: 'backPressure/signalRegistry.js',
     find: 'publishRateLimit(identity, local.perSecond);',
     replace: '',
     scenario: 'spec:backPressure/rateLimitedUpstream',
   },
   {
-    name: 'a coordinator is told which engines this entry may send nothing',
+    name: 'a placement request lists the engines that the entry temporarily excludes',
     file: 'relay/upstreamSelector.js',
     find: '...temporarilyExcluded.map((instance) => instance.identity)',
     replace: '',
     scenario: 'spec:backPressure/sendPolicy',
   },
   {
-    name: 'no generation is moved to an engine that may be sent nothing',
+    name: 'no generation is moved to an excluded engine',
     file: 'relay/streamExchange.js',
     find: ' || this.isExcluded(target)',
     replace: '',
--- a/packages/scenarios/src/scripts/dataCentreSafeguards.ts
+++ b/packages/scenarios/src/scripts/dataCentreSafeguards.ts
@@ -1,9 +1,9 @@
 /**
- * Safeguards of evacuated data centres, cold upstreams and homes.
+ * Safeguards of evacuated data centres, cold upstreams, the spread of voters and the allowed regions of requests.
  */
 import type * as types from './types.js';
 
-/** Each with what must fail without it. */
+/** Safeguards, each with the scenario or spec that must fail without it. */
 export const dataCentreSafeguards: readonly types.Safeguard[] = [
   {
     name: 'an evacuation is part of snapshots',
@@ -13,35 +13,35 @@
     scenario: 'spec:trafficControl/evacuations',
   },
   {
-    name: 'an entry never takes an older state of the evacuated data centres',
+    name: 'an entry ignores an older revision of the evacuated data centres',
     file: 'trafficControl/controlWatch.js',
     find: 'if (evacuations !== undefined && evacuations.revision > this.evacuationRevision) {',
     replace: 'if (evacuations !== undefined) {',
     scenario: 'spec:trafficControl/evacuations',
   },
   {
-    name: 'every replica tells of evacuated data centres at once',
+    name: 'every replica reports evacuated data centres immediately',
     file: 'trafficControl/openWatches.js',
     find: 'const newEvacuation = request.evacuationRevision < state.evacuationRevision;',
     replace: 'const newEvacuation = false;',
     scenario: 'spec:trafficControl/evacuations',
   },
   {
-    name: 'the rules of sending hold whatever is in an evacuated data centre',
+    name: 'the send policy excludes upstreams in an evacuated data centre',
     file: 'backPressure/sendPolicy.js',
     find: 'if (instances.isEvacuated(instance)) {',
     replace: 'if (false) {',
     scenario: 'spec:quarantine/guardedUpstreams',
   },
   {
-    name: 'an entry of the own interface gives an evacuated data centre nothing',
+    name: 'an entry of the native interface sends no requests to an evacuated data centre',
     file: 'directory/upstreamTable.js',
     find: 'return !record.leaving && !this.evacuated.has(record.announcement.dataCentre);',
     replace: 'return !record.leaving;',
     scenario: 'data-centre-evacuated',
   },
   {
-    name: 'an entry that starts learns of evacuated data centres with its first answer',
+    name: 'an entry that starts receives the evacuated data centres with its first response from control',
     file: 'configuration/configurationReplica.js',
     find: 'this.applyEvacuations(answer);',
     replace: '',
@@ -55,91 +55,91 @@
     scenario: 'spec:placement/evacuation',
   },
   {
-    name: 'the gate withholds what was chosen before the evacuation was known',
+    name: 'a request whose upstream was selected before its evacuation is not sent',
     file: 'quarantine/guardedUpstreams.js',
     find: 'if (exclusion !== undefined && !mayResumeFromCopy(call, exclusion)) {',
     replace: 'if (false) {',
     scenario: 'spec:quarantine/guardedUpstreams',
   },
   {
-    name: 'restored upstreams count as cold until they can have warmed up',
+    name: 'restored upstreams count as cold for the warm-up period',
     file: 'trafficControl/trafficControl.js',
     find: 'for (const dataCentre of this.evacuated.filter((former) => !evacuated.includes(former))) {',
     replace: 'for (const dataCentre of []) {',
     scenario: 'spec:trafficEntry/evacuatedDataCentre',
   },
   {
-    name: 'an entry chooses a cold upstream within its share only',
+    name: 'an entry selects a cold upstream only within its share of the warm-up rate',
     file: 'backPressure/sendPolicy.js',
     find: 'return this.exclusionOf(instance, now) ?? this.warmUpExclusionOf(instance, now);',
     replace: 'return this.exclusionOf(instance, now);',
     scenario: 'spec:trafficEntry/evacuatedDataCentre',
   },
   {
-    name: 'the coordinator places on a cold engine what it tolerates',
+    name: 'the coordinator places on a cold engine within its warm-up rate',
     file: 'placement/enginePool.js',
     find: ' || !isUnderRateLimit',
     replace: '',
     scenario: 'spec:placement/coordinator',
   },
   {
-    name: 'an entry keeps its share while it hears of fewer others',
+    name: 'an entry keeps its warm-up share while the number of known entries drops briefly',
     file: 'warmUp/entryShare.js',
     find: 'entries >= this.recentMaximum.entries || isOld',
     replace: 'true',
     scenario: 'spec:warmUp/warmUp',
   },
   {
-    name: 'an instance that becomes cold again is told at once',
+    name: 'an instance that becomes cold again is reported immediately',
     file: 'instances/instanceTable.js',
     find: "this.advance(becameCold || state === 'leaving');",
     replace: "this.advance(state === 'leaving');",
     scenario: 'spec:instances/warmUp',
   },
   {
-    name: 'a voter too many in one data centre steps back',
+    name: 'a surplus voter in a data centre is demoted',
     file: 'controlNode/voterSpread.js',
     find: 'if (toleratesAnyDataCentreLoss(members) || voters.length <= requiredVoters) {',
     replace: 'if (true) {',
     scenario: 'spec:trafficControl/dataCentreLoss',
   },
   {
-    name: 'a replica that would spoil the spread of voters stays a learner',
+    name: 'a replica that would unbalance the voters across data centres stays a learner',
     file: 'controlNode/voterSpread.js',
     find: 'return lacksVoters || isHarmless ? candidate : undefined;',
     replace: 'return candidate;',
     scenario: 'spec:trafficControl/dataCentreLoss',
   },
   {
-    name: 'the gate keeps a request out of regions where it may not run',
+    name: 'a request is not sent to a region where it may not run',
     file: 'quarantine/guardedUpstreams.js',
     find: 'if (!residency.allows(call.instance.dataCentre, call.dataCentres)) {',
     replace: 'if (false) {',
     scenario: 'spec:quarantine/guardedUpstreams',
   },
   {
-    name: 'an entry chooses among upstreams at home only',
+    name: 'an entry selects only upstreams in the allowed regions of a request',
     file: 'relay/exchangeContext.js',
     find: 'return dataCentres === undefined',
     replace: 'return true',
     scenario: 'spec:traffic/residency',
   },
   {
-    name: 'a caller is given entries through which its bodies may pass',
+    name: 'a caller receives the addresses of entries in the regions that are allowed for its requests',
     file: 'trafficControl/entryDirectory.js',
     find: 'const usable = allowed.length > 0 ? allowed : ready;',
     replace: 'const usable = ready;',
     scenario: 'spec:trafficControl/entryDirectory',
   },
   {
-    name: 'the coordinator keeps a generation within its home',
+    name: 'the coordinator places a generation only in its allowed regions',
     file: 'placement/enginePool.js',
     find: '!isAllowed || ',
     replace: '',
     scenario: 'spec:placement/evacuation',
   },
   {
-    name: 'an instance that is not heard of any more is not reported as leaving',
+    name: 'an instance without recent reports is not reported as leaving',
     file: 'instances/instanceView.js',
     find: "return this.instances.get(identity)?.state === 'leaving';",
     replace: "return this.instances.get(identity)?.state !== 'ready';",
--- a/packages/scenarios/src/scripts/quarantineSafeguards.ts
+++ b/packages/scenarios/src/scripts/quarantineSafeguards.ts
@@ -1,5 +1,5 @@
 /**
- * Safeguards that keep requests which end upstreams away from them.
+ * Safeguards of the quarantine of requests that crash their upstreams.
  */
 import type * as types from './types.js';
 
@@ -9,129 +9,129 @@
 const DETECTOR = 'spec:quarantine/crashDetector';
 const DIGEST = 'spec:quarantine/contentDigest';
 
-/** Each with the spec or scenario that must fail without it. */
+/** Safeguards, each with the scenario or spec that must fail without it. */
 export const quarantineSafeguards: readonly types.Safeguard[] = [
   {
-    name: 'nothing quarantined passes the gate of an entry',
+    name: 'no quarantined request is sent to an upstream',
     file: 'quarantine/crashRecordStore.js',
     find: "return 'quarantined';",
     replace: "return 'suspected';",
     scenario: REPEATED,
   },
   {
-    name: 'a quarantined request is turned away before it is placed',
+    name: 'a quarantined request is rejected before it is placed',
     file: 'relay/trafficRelay.js',
     find: "if (this.options.context.quarantine.verdictOf(content) === 'quarantined') {",
     replace: 'if (false) {',
     scenario: SYSTEM,
   },
   {
-    name: 'a run that is under way at the third end is cancelled',
+    name: 'a running request is cancelled when its content is quarantined',
     file: 'relay/streamExchange.js',
     find: 'if (this.active === undefined || this.active.eventCount === 0) {',
     replace: 'if (false) {',
     scenario: SYSTEM,
   },
   {
-    name: 'a suspected content is sent on only once its upstream was checked',
+    name: 'a suspected content is retried only after the connection check of its upstream',
     file: 'quarantine/guardedUpstreams.js',
     find: "quarantineState.verdictOf(this.content) === 'free'",
     replace: 'true',
     scenario: SYSTEM,
   },
   {
-    name: 'control replicas are told',
+    name: 'crashes are reported to the control replicas',
     file: 'quarantine/quarantine.js',
     find: "metrics.count('quarantine.crashes', 1, { sign });\n        report(content);",
     replace: "metrics.count('quarantine.crashes', 1, { sign });",
     scenario: REPEATED,
   },
   {
-    name: 'entries are told of cases at once',
+    name: 'entries receive new crash records immediately',
     file: 'trafficControl/openWatches.js',
     find: 'const newCrashRecords = request.caseRevision < state.caseRevision;',
     replace: 'const newCrashRecords = false;',
     scenario: SYSTEM,
   },
   {
-    name: 'a replica that has started is told again',
+    name: 'crash records are reported again to a restarted replica',
     file: 'trafficEntry/trafficEntry.js',
     find: 'reporter.reportTo(address, guard.trackedContents());',
     replace: '',
     scenario: SYSTEM,
   },
   {
-    name: 'replicas agree on a quarantine',
+    name: 'a quarantine is replicated among the control replicas',
     file: 'quarantine/quarantineRegistry.js',
     find: "this.proposeThrottled({ type: 'quarantine', content });",
     replace: '',
     scenario: SYSTEM,
   },
   {
-    name: 'an answer voids what was held',
+    name: 'a complete response voids the crash records of its content',
     file: 'quarantine/crashRecordStore.js',
     find: 'if (at <= stored.voidedAt) {',
     replace: 'if (false) {',
     scenario: LEDGER,
   },
   {
-    name: 'an end is explained by one content',
+    name: 'a crash that a quarantined content explains counts against no other content',
     file: 'quarantine/crashRecordStore.js',
     find: '!this.isExplained(instance, stored)',
     replace: 'true',
     scenario: LEDGER,
   },
   {
-    name: 'a quarantine rests on ends that stand',
+    name: 'a quarantine is lifted when too few of its crash records remain valid',
     file: 'quarantine/crashRecordStore.js',
     find: 'const isStillJustified = wasQuarantined && stored.crashes.size >= needed;',
     replace: 'const isStillJustified = wasQuarantined;',
     scenario: LEDGER,
   },
   {
-    name: 'cases are bounded',
+    name: 'the number of crash records is bounded',
     file: 'quarantine/crashRecordStore.js',
     find: 'if (this.records.size <= MAXIMUM_RECORDS) {',
     replace: 'if (true) {',
     scenario: LEDGER,
   },
   {
-    name: 'an instance that accepts connections has not ended',
+    name: 'an instance that accepts connections has not crashed',
     file: 'quarantine/crashDetector.js',
     find: 'this.discardBrokenRuns(identity);',
     replace: '',
     scenario: DETECTOR,
   },
   {
-    name: 'the end of an instance that gave notice counts against nobody',
+    name: 'the exit of an instance after its termination notice counts against no content',
     file: 'quarantine/crashDetector.js',
     find: 'run === undefined || this.options.isTerminating(identity)',
     replace: 'run === undefined',
     scenario: DETECTOR,
   },
   {
-    name: 'nobody waits long for a check',
+    name: 'the wait for a connection check is bounded',
     file: 'quarantine/crashDetector.js',
     find: 'const cancel = timers.after(MAXIMUM_CHECK_WAIT, call);',
     replace: 'const cancel = () => undefined;',
     scenario: DETECTOR,
   },
   {
-    name: 'the account is part of the content',
+    name: 'the account is part of the content digest',
     file: 'quarantine/contentDigest.js',
     find: 'fromParts([method, host, path, account], body)',
     replace: 'fromParts([method, host, path], body)',
     scenario: DIGEST,
   },
   {
-    name: 'entries of the own interface pass the gate',
+    name: 'entries of the native interface check the quarantine before sending',
     file: 'entryNode/guardedPlacement.js',
     find: 'return this.options.quarantine.verdictOf(this.options.content);',
     replace: "return 'free';",
     scenario: 'stream-ends-its-engines',
   },
   {
-    name: 'entries of the own interface tell each other',
+    name: 'entries of the native interface publish crash records to each other',
     file: 'directory/directory.js',
     find: 'this.push([this.store.publish(name, incarnation, keyOf(value), value, this.now())]);\n    }\n    /** Applies an update',
     replace: '}\n    /** Applies an update',
--- a/packages/scenarios/src/world/virtualUpstreams.ts
+++ b/packages/scenarios/src/world/virtualUpstreams.ts
@@ -14,7 +14,7 @@
   model: standIns.engineModel.EngineModel;
   readonly orderReceiver: standIns.orderReceiver.OrderReceiver;
   /** Called for every generation that starts. */
-  readonly onStart: (order: standIns.engineTypes.EngineRequest) => void;
+  readonly onStart: (request: standIns.engineTypes.EngineRequest) => void;
 }
 
 /** Simulated service and its host. */
@@ -186,10 +186,10 @@
     return connection;
   };
   return {
-    start: (target, order, listener) =>
-      connect(target, order.generation, listener, (engine, connection) => {
+    start: (target, request, listener) =>
+      connect(target, request.generation, listener, (engine, connection) => {
         connection.accept();
-        const engineRequest = standIns.requestParser.parse(order);
+        const engineRequest = standIns.requestParser.parse(request);
         engine.model.start(engineRequest, connection);
         engine.onStart(engineRequest);
       }),
--- a/packages/scenarios/src/world/world.ts
+++ b/packages/scenarios/src/world/world.ts
@@ -216,8 +216,8 @@
       host: processHost,
       model: create(),
       orderReceiver: new standIns.orderReceiver.OrderReceiver(engineOptions.checksFencing),
-      onStart: (order) => {
-        if (order.outputTokens === engineOptions.crashesAtOutputTokens) {
+      onStart: (request) => {
+        if (request.outputTokens === engineOptions.crashesAtOutputTokens) {
           this.scheduleCrash(name);
         }
       },
@@ -360,8 +360,8 @@
 
   /** Running control replicas that may act as leader. */
   leaders(): readonly string[] {
-    const slots = [...this.controls.entries()];
-    return slots
+    const replicas = [...this.controls.entries()];
+    return replicas
       .filter(([, replica]) => replica.host.isUp && replica.node?.services.find('replica').mayLead() === true)
       .map(([name]) => name);
   }
--- a/packages/soak/src/clients.ts
+++ b/packages/soak/src/clients.ts
@@ -192,7 +192,7 @@
   }
 
   /** Starts or finishes the evacuation of a data centre; true if the command was acknowledged. */
-  async orderDataCentre(dataCentre: string, action: 'begin' | 'finish'): Promise<boolean> {
+  async changeEvacuation(dataCentre: string, action: 'begin' | 'finish'): Promise<boolean> {
     const path = `${platform.httpNames.systemPaths.dataCentres}${dataCentre}/${action}`;
     const result = await call(
       { host: this.pickHost(), port: this.port, method: 'POST', path, timeout: 1_500 },
--- a/packages/soak/src/evacuationCheck.ts
+++ b/packages/soak/src/evacuationCheck.ts
@@ -1,7 +1,7 @@
 /**
- * Checks evacuation of a data centre: an operator evacuates it before the fault phase and restores it afterwards. An
- * acknowledged evacuation must survive kills, partitions and disk losses, and the restored cold instances must not be
- * overloaded.
+ * Checks the evacuation of a data centre: an operator evacuates it before the fault phase and restores it afterwards.
+ * An acknowledged evacuation must survive kills, partitions and disk losses, and the restored cold instances must not
+ * be overloaded.
  */
 import * as clients from './clients.js';
 import type * as invariantChecker from './invariantChecker.js';
@@ -46,7 +46,7 @@
   /** Evacuates the data centre; called before the fault phase. */
   async begin(): Promise<void> {
     const { operator, checker, waitUntil } = this.options;
-    if (!(await waitUntil(() => operator.orderDataCentre(EVACUATED_DATA_CENTRE, 'begin')))) {
+    if (!(await waitUntil(() => operator.changeEvacuation(EVACUATED_DATA_CENTRE, 'begin')))) {
       checker.violations.push('the evacuation was never acknowledged');
     }
   }
@@ -64,7 +64,7 @@
     for (const instance of this.evacuatedInstances) {
       instance.becomeCold(COLD_DURATION_MS);
     }
-    if (!(await waitUntil(() => operator.orderDataCentre(EVACUATED_DATA_CENTRE, 'finish')))) {
+    if (!(await waitUntil(() => operator.changeEvacuation(EVACUATED_DATA_CENTRE, 'finish')))) {
       checker.violations.push('the restoration was never acknowledged');
     }
     const arrivalsAtRestore = this.countArrivals();
--- a/packages/soak/src/knownSeeds.ts
+++ b/packages/soak/src/knownSeeds.ts
@@ -8,11 +8,11 @@
   readonly cause: string;
 }
 
-const NO_HANDLER = 'a hang-up signal during its start ended an entry: no handler was there yet';
-const REORDERED = 'the proxy let bytes overtake delayed ones, so that events came out of order';
+const NO_HANDLER = 'an entry was terminated by SIGHUP during its start, before its handler was installed';
+const REORDERED = 'the proxy reordered delayed bytes, so that events arrived out of order';
 const SAME_PORT =
-  'two programs of the run were given the same port, and one ended at its start: the address was in use';
-const SECOND_DISK = 'the soak took a second disk before the first replica was repaired';
+  'two processes of the run were allocated the same port, and one failed to start with its address in use';
+const SECOND_DISK = 'the soak erased a second disk before the first replica was repaired';
 
 /** All seeds that failed because of a fault in the processes or in the soak itself. */
 export const knownSeeds: readonly KnownSeed[] = [
--- a/packages/standIns/src/announcer/announcer.ts
+++ b/packages/standIns/src/announcer/announcer.ts
@@ -34,19 +34,19 @@
 
   constructor(options: AnnouncerOptions) {
     this.options = options;
-    const { timers, random, announcementInterval: announceEvery, reportInterval: reportEvery } = options;
+    const { timers, random, announcementInterval, reportInterval } = options;
     timers.after(0, () => {
       this.announce();
     });
     timers.every(
-      () => announceEvery,
+      () => announcementInterval,
       () => {
         this.announce();
       },
     );
-    timers.after(reportEvery * random.next(), () => {
+    timers.after(reportInterval * random.next(), () => {
       timers.every(
-        () => reportEvery,
+        () => reportInterval,
         () => {
           this.report();
         },
@@ -87,13 +87,13 @@
   }
 
   private reportCache(): void {
-    const { announcement, cacheChanges, random, cacheEventLossShare: cacheLoss, post } = this.options;
+    const { announcement, cacheChanges, random, cacheEventLossShare, post } = this.options;
     const { added, removed } = cacheChanges();
     if (added.length + removed.length === 0) {
       return;
     }
     this.cacheSequence += 1;
-    if (random.next() >= cacheLoss) {
+    if (random.next() >= cacheEventLossShare) {
       const { name, incarnation } = announcement;
       post({ type: 'cache', event: { name, incarnation, sequence: this.cacheSequence, added, removed } });
     }
--- a/packages/standIns/src/engine/engineHttp.ts
+++ b/packages/standIns/src/engine/engineHttp.ts
@@ -18,10 +18,10 @@
   private readonly isChat: boolean;
   private readonly onBufferFull: () => void;
 
-  constructor(response: http.ServerResponse, chat: boolean, onFull: () => void) {
+  constructor(response: http.ServerResponse, isChat: boolean, onBufferFull: () => void) {
     this.response = response;
-    this.isChat = chat;
-    this.onBufferFull = onFull;
+    this.isChat = isChat;
+    this.onBufferFull = onBufferFull;
   }
 
   token(generation: string, index: number): void {
@@ -103,10 +103,10 @@
 function createReader(
   model: engineModel.EngineModel,
   generation: string,
-  chat: boolean,
+  isChat: boolean,
   response: http.ServerResponse,
 ): types.EngineReader {
-  const reader = new ResponseReader(response, chat, () => {
+  const reader = new ResponseReader(response, isChat, () => {
     model.setPaused(generation, reader, true);
   });
   response.on('drain', () => {
--- a/packages/standIns/src/engine/requestParser.ts
+++ b/packages/standIns/src/engine/requestParser.ts
@@ -11,22 +11,22 @@
 /**
  * Parses a generation request.
  *
- * @param order - generation, priority and body sent by an entry
+ * @param request - generation, priority and body sent by an entry
  * @returns the request for the engine model
  * @example
  * ```ts
- * model.start(requestParser.parse(order), reader);
+ * model.start(requestParser.parse(request), reader);
  * ```
  */
 export function parse(
-  order: Pick<kumquatfront.streamTypes.EngineRequest, 'generation' | 'priority' | 'body'>,
+  request: Pick<kumquatfront.streamTypes.EngineRequest, 'generation' | 'priority' | 'body'>,
 ): types.EngineRequest {
-  const body = JSON.parse(order.body) as Record<string, unknown>;
+  const body = JSON.parse(request.body) as Record<string, unknown>;
   const promptAttributes = kumquatfront.promptAttributes.fromBody(body) ?? { tokens: 1, prefix: '' };
   const requestedOutput = body.stand_in_output_tokens ?? body.max_completion_tokens ?? body.max_tokens;
   return {
-    generation: order.generation,
-    priority: order.priority,
+    generation: request.generation,
+    priority: request.priority,
     promptTokens: Math.max(1, promptAttributes.tokens),
     outputTokens:
       typeof requestedOutput === 'number' && requestedOutput > 0
--- a/packages/standIns/src/weightStore/weightStoreModel.ts
+++ b/packages/standIns/src/weightStore/weightStoreModel.ts
@@ -11,8 +11,8 @@
   private readonly now: () => number;
   private recentLoadTimes: number[] = [];
 
-  constructor(perMinute: number, now: () => number) {
-    this.loadsPerMinute = perMinute;
+  constructor(loadsPerMinute: number, now: () => number) {
+    this.loadsPerMinute = loadsPerMinute;
     this.now = now;
   }
 
