--- a/packages/command/src/ledger/ledgerReport.ts
+++ b/packages/command/src/ledger/ledgerReport.ts
@@ -11,6 +11,7 @@
 /** Counts of one group of attempts, such as a service or a second. */
 export interface EndingTotals {
   readonly name: string;
+  /** Number of attempts. */
   readonly asked: number;
   readonly counts: Readonly<EndingCounts>;
 }
--- a/packages/command/src/operatorClient.ts
+++ b/packages/command/src/operatorClient.ts
@@ -20,9 +20,10 @@
 /** Result of a method of the client. */
 export type ClientResult<Value> = kumquatfront.results.Result<Value, kumquatfront.failures.Failure>;
 
-/** Status of the whole system, as collected by one replica. */
+/** Status of the system, as collected by one replica. */
 export interface SystemStatus {
   readonly replicas: readonly kumquatfront.controlMethods.ControlStatus[];
+  /** Addresses of replicas that did not respond. */
   readonly silent: readonly string[];
 }
 
@@ -140,7 +141,7 @@
     return result.map((answer) => answer as kumquatfront.agreedTypes.Evacuations);
   }
 
-  /** Asks an entry to drain and stop. */
+  /** Requests that an entry drains and stops. */
   async drain(entry: string): Promise<ClientResult<unknown>> {
     return this.sendWithRetries('POST', '/v1/drains', { entry });
   }
--- a/packages/command/src/systemCommands.ts
+++ b/packages/command/src/systemCommands.ts
@@ -165,7 +165,7 @@
 }
 
 /**
- * `drain ENTRY`: asks an entry to drain and stop.
+ * `drain ENTRY`: requests that an entry drains and stops.
  *
  * @param context - client and output
  * @param entry - name of the entry
--- a/packages/scenarios/src/scripts/controlSafeguards.ts
+++ b/packages/scenarios/src/scripts/controlSafeguards.ts
@@ -234,7 +234,7 @@
     scenario: 'spec:consensus/replica',
   },
   {
-    name: 'a log that conflicts with a snapshot is discarded before the snapshot is installed',
+    name: 'overwritten log entries are invalidated before a snapshot is installed',
     file: 'consensus/logStore.js',
     find: 'if (!matchesSnapshot) {',
     replace: 'if (false) {',
--- a/packages/scenarios/src/scripts/dataCentreSafeguards.ts
+++ b/packages/scenarios/src/scripts/dataCentreSafeguards.ts
@@ -34,7 +34,7 @@
     scenario: 'spec:quarantine/guardedUpstreams',
   },
   {
-    name: 'an entry of the native interface sends no requests to an evacuated data centre',
+    name: "an entry of the product's own interface sends no requests to an evacuated data centre",
     file: 'directory/upstreamTable.js',
     find: 'return !record.leaving && !this.evacuated.has(record.announcement.dataCentre);',
     replace: 'return !record.leaving;',
--- a/packages/scenarios/src/scripts/quarantineSafeguards.ts
+++ b/packages/scenarios/src/scripts/quarantineSafeguards.ts
@@ -124,14 +124,14 @@
     scenario: DIGEST,
   },
   {
-    name: 'entries of the native interface check the quarantine before sending',
+    name: "entries of the product's own interface check the quarantine before sending",
     file: 'entryNode/guardedPlacement.js',
     find: 'return this.options.quarantine.verdictOf(this.options.content);',
     replace: "return 'free';",
     scenario: 'stream-ends-its-engines',
   },
   {
-    name: 'entries of the native interface publish crash records to each other',
+    name: "entries of the product's own interface publish crash records to each other",
     file: 'directory/directory.js',
     find: 'this.push([this.store.publish(name, incarnation, keyOf(value), value, this.now())]);\n    }\n    /** Applies an update',
     replace: '}\n    /** Applies an update',
--- a/packages/scenarios/src/scripts/relaySafeguards.ts
+++ b/packages/scenarios/src/scripts/relaySafeguards.ts
@@ -98,7 +98,7 @@
     scenario: INSTANCES,
   },
   {
-    name: 'an empty instance list from control is ignored',
+    name: 'an empty instance list from restarted control replicas is ignored',
     file: 'instances/instanceView.js',
     find: 'if (settled.length === 0) {',
     replace: 'if (false) {',
--- a/packages/scenarios/src/scripts/types.ts
+++ b/packages/scenarios/src/scripts/types.ts
@@ -1,6 +1,7 @@
 /**
  * Types of the safeguard lists.
  */
+
 /** A safeguard in the code of the library. Replacing `find` by `replace` in the built file disables it. */
 export interface Safeguard {
   readonly name: string;
--- a/packages/soak/src/loopbackProxy.ts
+++ b/packages/soak/src/loopbackProxy.ts
@@ -106,7 +106,7 @@
     }
   }
 
-  /** Forwards new connections again; connections that have lost data stay silent until they close. */
+  /** Forwards new connections again; connections that have lost data forward nothing until they close. */
   heal(): void {
     this.state = 'healthy';
   }
--- a/packages/soak/src/soakRun.ts
+++ b/packages/soak/src/soakRun.ts
@@ -91,7 +91,7 @@
         const advertisedAddress = `127.0.26.${position * 10 + index}:${port}`;
         this.instanceProxies.push(createProxy(advertisedAddress, listenAddress));
         const controlAddresses = (): readonly string[] =>
-          this.control.map((program) => `${program.host}:${this.ports.operator}`);
+          this.control.map((member) => `${member.host}:${this.ports.operator}`);
         const identity = `${service}-${index}`;
         const dataCentre = DATA_CENTRES[index - 1] ?? 'a';
         this.instances.push(
@@ -191,7 +191,7 @@
   private async waitUntilReplicasUpToDate(): Promise<void> {
     const endsAt = Date.now() + RECOVERY_TIMEOUT_MS;
     while (Date.now() < endsAt) {
-      const answers = await Promise.all(this.control.map((program) => this.answersReads(program.host)));
+      const answers = await Promise.all(this.control.map((member) => this.answersReads(member.host)));
       if (answers.every((answer) => answer)) {
         return;
       }
@@ -209,8 +209,8 @@
     for (const instance of this.instances) {
       instance.close();
     }
-    for (const program of this.processes) {
-      program.stop();
+    for (const member of this.processes) {
+      member.stop();
     }
     for (const proxy of this.instanceProxies) {
       proxy.close();
@@ -255,8 +255,8 @@
 ): Promise<SoakOutcome> {
   const environment = new SoakEnvironment(options, await allocatePorts());
   environment.startInstances(createProxy);
-  const controlHosts = environment.control.map((program) => program.host);
-  const entryHosts = environment.entries.map((program) => program.host);
+  const controlHosts = environment.control.map((member) => member.host);
+  const entryHosts = environment.entries.map((member) => member.host);
   const operator = new clients.Operator(
     controlHosts,
     environment.ports.operator,
@@ -312,12 +312,12 @@
     caller.stop();
   }
   await sleep.forMilliseconds(500);
-  for (const program of environment.processes) {
-    if (program.unexpectedExits > 0) {
-      violations.push(`${program.name} exited unexpectedly ${program.unexpectedExits} times`);
+  for (const member of environment.processes) {
+    if (member.unexpectedExits > 0) {
+      violations.push(`${member.name} exited unexpectedly ${member.unexpectedExits} times`);
     }
   }
-  const logs = new Map(environment.processes.map((program) => [program.name, program.log]));
+  const logs = new Map(environment.processes.map((member) => [member.name, member.log]));
   await environment.stop();
   return { violations, counts: environment.checker.counts, injectedFaults: environment.injectedFaults, logs };
 }
