--- a/packages/command/src/operatorClient.ts
+++ b/packages/command/src/operatorClient.ts
@@ -1,6 +1,6 @@
 /**
- * HTTP client for the operator API of control: reads and changes configuration. A request that gets no answer is
- * retried on the next replica, a change with the same change id, so that it is made only once.
+ * HTTP client for the operator API of control. A request without an answer is retried on the next replica. A retried
+ * change keeps its change id, so that it is applied only once.
  */
 import * as kumquatfront from 'kumquatfront';
 import * as undici from 'undici';
@@ -20,9 +20,10 @@
 /** Result of a method of the client. */
 export type ClientResult<Value> = kumquatfront.results.Result<Value, kumquatfront.failures.Failure>;
 
-/** Status of the whole system, as collected by one replica. */
+/** Status of the system, as collected by one replica. */
 export interface SystemStatus {
   readonly replicas: readonly kumquatfront.controlMethods.ControlStatus[];
+  /** Addresses of replicas that did not respond. */
   readonly silent: readonly string[];
 }
 
@@ -140,7 +141,7 @@
     return result.map((answer) => answer as kumquatfront.agreedTypes.Evacuations);
   }
 
-  /** Asks an entry to drain and stop. */
+  /** Requests that an entry drains and stops. */
   async drain(entry: string): Promise<ClientResult<unknown>> {
     return this.sendWithRetries('POST', '/v1/drains', { entry });
   }
--- a/packages/command/src/systemCommands.ts
+++ b/packages/command/src/systemCommands.ts
@@ -165,7 +165,7 @@
 }
 
 /**
- * `drain ENTRY`: asks an entry to drain and stop.
+ * `drain ENTRY`: requests that an entry drains and stops.
  *
  * @param context - client and output
  * @param entry - name of the entry
@@ -198,7 +198,7 @@
  * @returns the data centres that are evacuated after the command
  * @example
  * ```ts
- * await systemCommands.sendDataCentreCommand(context, 'evacuate', 'perth-a');
+ * await systemCommands.changeEvacuation(context, 'evacuate', 'perth-a');
  * ```
  */
 export async function changeEvacuation(
