--- a/packages/kumquatfront/src/backPressure/sendPolicy.spec.ts
+++ b/packages/kumquatfront/src/backPressure/sendPolicy.spec.ts
@@ -115,7 +115,7 @@
   'of several pauses the one that ends last applies, and none is longer than half a minute',
   () => {
     const harness = new relayTestHarness.RelayTestHarness(['a']);
-    const { rules, instances, timers } = harness.context;
+    const { sendPolicy: policy, instances, timers } = harness.context;
     const instance = instances.get('a');
     assert.ok(instance);
     deliverSignals(harness, 'a', { ...noSignals, pause: 2_000 });
@@ -124,11 +124,11 @@
       { request: harness.createRoutedRequest('stream').request, instance, timeLeft: 1_000 },
       { head: () => undefined, data: () => undefined, end: () => undefined, failed: () => undefined },
     );
-    assert.equal(rules.exclusionOf(instance, timers.now())?.until, 2_000);
+    assert.equal(policy.exclusionOf(instance, timers.now())?.until, 2_000);
     harness.time.advance(1_900);
-    assert.equal(rules.exclusionOf(instance, timers.now()), undefined);
+    assert.equal(policy.exclusionOf(instance, timers.now()), undefined);
     deliverSignals(harness, 'a', { ...noSignals, pause: 31_536_000_000 });
-    assert.equal(rules.exclusionOf(instance, timers.now())?.until, 32_000);
+    assert.equal(policy.exclusionOf(instance, timers.now())?.until, 32_000);
   },
 );
 
--- a/packages/kumquatfront/src/entryNode/requestHandler.ts
+++ b/packages/kumquatfront/src/entryNode/requestHandler.ts
@@ -218,7 +218,7 @@
     });
     return {
       requestPlacement: (exclude, done) => contentGuard.requestPlacement(exclude, done),
-      issueToken: (target, generation) =>
+      issueTokenPrefix: (target, generation) =>
         resumeToken.issuePrefix(
           {
             requestId: request.requestId,
@@ -314,7 +314,7 @@
         // A resumed stream is not placed again; it resumes only at the engine that runs it.
         ...this.createRelayHost(placementRequest, claims.path, ''),
         // A reissued token must name the original request, not the identifier of this resumption.
-        issueToken: (target, generation) =>
+        issueTokenPrefix: (target, generation) =>
           resumeToken.issuePrefix(
             { ...claims, upstream: target.name, address: target.address, generation },
             settings.signingKey,
--- a/packages/kumquatfront/src/relay/exchangeContext.ts
+++ b/packages/kumquatfront/src/relay/exchangeContext.ts
@@ -22,7 +22,7 @@
   readonly upstreams: types.UpstreamPort;
   readonly instances: instanceView.InstanceView;
   /** Decides which upstreams are temporarily excluded. */
-  readonly rules: sendPolicy.SendPolicy;
+  readonly sendPolicy: sendPolicy.SendPolicy;
   readonly balancer: localBalancer.LocalBalancer;
   readonly retryBudget: serviceRetryBudget.ServiceRetryBudget;
   readonly placement: placementClient.PlacementClient;
@@ -107,15 +107,15 @@
 ): types.Refusal & { readonly retryAfter: ports.Milliseconds } {
   const now = context.timers.now();
   const candidates = candidatesOf(context, routed);
-  const exclusion = context.rules.exclusionOfAll(candidates, now);
+  const exclusion = context.sendPolicy.exclusionOfAll(candidates, now);
   if (exclusion === undefined) {
     const message = candidates.length === 0 ? describeNoUpstream(context, routed) : defaultMessage;
     return { reason: 'noUpstream', message, retryAfter: NO_UPSTREAM_RETRY_DELAY };
   }
   return {
     reason: exclusion.until === undefined ? 'noUpstream' : 'overloaded',
-    message: context.rules.messageOf(exclusion),
-    retryAfter: context.rules.retryAfter(exclusion, now, NO_UPSTREAM_RETRY_DELAY),
+    message: context.sendPolicy.messageOf(exclusion),
+    retryAfter: context.sendPolicy.retryAfter(exclusion, now, NO_UPSTREAM_RETRY_DELAY),
   };
 }
 
--- a/packages/kumquatfront/src/relay/localBalancer.ts
+++ b/packages/kumquatfront/src/relay/localBalancer.ts
@@ -33,7 +33,7 @@
 export interface LocalBalancerOptions {
   readonly random: ports.Random;
   readonly dataCentre: string;
-  readonly rules: sendPolicy.SendPolicy;
+  readonly sendPolicy: sendPolicy.SendPolicy;
 }
 
 /** Local load balancer; see the module comment. */
@@ -79,7 +79,7 @@
   }
 
   /** Removes all state of an instance. */
-  forget(identity: string): void {
+  removeInstance(identity: string): void {
     this.openRequests.delete(identity);
     this.reportedLoads.delete(identity);
     this.health.removeUpstream(identity);
@@ -111,9 +111,9 @@
     now: number,
   ): instanceView.Instance | undefined {
     const ejected = new Set(this.ejectedOf(candidates, now));
-    const { rules } = this.options;
+    const { sendPolicy: policy } = this.options;
     const untried = candidates.filter(
-      (instance) => !tried.has(instance.identity) && rules.exclusionFromChoice(instance, now) === undefined,
+      (instance) => !tried.has(instance.identity) && policy.exclusionFromChoice(instance, now) === undefined,
     );
     const healthy = untried.filter((instance) => !ejected.has(instance.identity));
     let best: instanceView.Instance | undefined;
--- a/packages/kumquatfront/src/relay/relayTestHarness.ts
+++ b/packages/kumquatfront/src/relay/relayTestHarness.ts
@@ -125,7 +125,7 @@
       publishedRateLimitOf: (identity) => view.get(identity)?.rateLimit,
       publishRateLimit: noop,
     });
-    const rules = new sendPolicy.SendPolicy({
+    const policy = new sendPolicy.SendPolicy({
       entry: 'entry',
       random,
       instances: view,
@@ -144,12 +144,12 @@
         timers,
         quarantine: guard,
         signals,
-        policy: rules,
+        policy: policy,
         log,
       }),
       instances: view,
-      rules,
-      balancer: new localBalancer.LocalBalancer({ random, dataCentre: 'a', rules }),
+      sendPolicy: policy,
+      balancer: new localBalancer.LocalBalancer({ random, dataCentre: 'a', sendPolicy: policy }),
       retryBudget: new serviceRetryBudget.ServiceRetryBudget(
         { ratio: 0.2, slack: retrySlack, window: 10_000 },
         () => 1,
--- a/packages/kumquatfront/src/relay/streamExchange.ts
+++ b/packages/kumquatfront/src/relay/streamExchange.ts
@@ -428,8 +428,8 @@
 
   /** True if the target is temporarily excluded; checked before the source stops, since its run would be lost. */
   private isExcluded(target: instanceView.Instance): boolean {
-    const { rules, timers } = this.context;
-    return rules.exclusionOf(target, timers.now()) !== undefined;
+    const { sendPolicy: policy, timers } = this.context;
+    return policy.exclusionOf(target, timers.now()) !== undefined;
   }
 
   /** Handles the restart of the engine, which has lost this run and cannot copy it. */
--- a/packages/kumquatfront/src/relay/upstreamSelector.ts
+++ b/packages/kumquatfront/src/relay/upstreamSelector.ts
@@ -51,7 +51,7 @@
 
   /** Starts one selection and reports its result to the listener. */
   select(): void {
-    const { placement, timers, balancer, rules } = this.context;
+    const { placement, timers, balancer, sendPolicy: policy } = this.context;
     const { deadline, request, route } = this.routed;
     const candidates = exchangeContext.candidatesOf(this.context, this.routed);
     if (this.attributes === undefined || candidates.length === 0) {
@@ -60,7 +60,7 @@
     }
     const now = timers.now();
     const temporarilyExcluded = candidates.filter(
-      (instance) => rules.exclusionOf(instance, now) !== undefined,
+      (instance) => policy.exclusionOf(instance, now) !== undefined,
     );
     if (temporarilyExcluded.length === candidates.length) {
       this.reportNoUpstream();
--- a/packages/kumquatfront/src/streams/generationRelay.spec.ts
+++ b/packages/kumquatfront/src/streams/generationRelay.spec.ts
@@ -70,7 +70,7 @@
           }
           return () => undefined;
         },
-        issueToken: () => 'token',
+        issueTokenPrefix: () => 'token',
         mayRetry: () => true,
         onProgress: () => undefined,
         onReleased: (upstream, _produced, reason) => {
--- a/packages/kumquatfront/src/streams/generationRelay.ts
+++ b/packages/kumquatfront/src/streams/generationRelay.ts
@@ -20,7 +20,7 @@
     done: (placement: routing.Placement) => void,
   ) => ports.Cancel;
   /** Returns the prefix of the resume tokens of a generation; see `resumeToken.issuePrefix`. */
-  readonly issueToken: (target: types.UpstreamTarget, generation: string) => string;
+  readonly issueTokenPrefix: (target: types.UpstreamTarget, generation: string) => string;
   readonly mayRetry: () => boolean;
   readonly onProgress: (produced: number) => void;
   /** The relay no longer uses the upstream. */
@@ -90,7 +90,7 @@
     this.target = target;
     this.generation = generation;
     this.nextIndex = nextIndex;
-    this.tokenPrefix = this.options.host.issueToken(target, generation);
+    this.tokenPrefix = this.options.host.issueTokenPrefix(target, generation);
     this.lastProgressAt = this.now();
     this.options.caller.sendAccepted(`${this.tokenPrefix}.${nextIndex}`);
     this.reconnect();
@@ -153,7 +153,7 @@
     this.resumesWithoutProgress = 0;
     this.connectionsOfGeneration = 0;
     this.lastProgressAt = this.now();
-    this.tokenPrefix = host.issueToken(target, this.generation);
+    this.tokenPrefix = host.issueTokenPrefix(target, this.generation);
     if (isRestart) {
       caller.sendRestart(`${this.tokenPrefix}.0`);
     } else {
--- a/packages/kumquatfront/src/trafficEntry/trafficEntry.ts
+++ b/packages/kumquatfront/src/trafficEntry/trafficEntry.ts
@@ -99,7 +99,7 @@
         this.quarantine.detector.onInstanceChange(change);
         signals.onInstanceChange(change);
         if (event === 'gone' || event === 'replaced') {
-          balancer.forget(instance.identity);
+          balancer.removeInstance(instance.identity);
           policy.removeUpstream(instance.identity);
         }
         if (event === 'replaced') {
@@ -120,7 +120,7 @@
     const balancer = new localBalancer.LocalBalancer({
       random,
       dataCentre: settings.dataCentre,
-      rules: policy,
+      sendPolicy: policy,
     });
     this.placement = new placementClient.PlacementClient({
       entry: settings.name,
@@ -174,7 +174,7 @@
           log,
         }),
         instances,
-        rules: policy,
+        sendPolicy: policy,
         balancer,
         retryBudget: budget,
         placement,
