--- a/packages/command/src/explain/cause.ts
+++ b/packages/command/src/explain/cause.ts
@@ -33,9 +33,9 @@
   const cold = engines.filter((engine) => /:cold\b/.test(engine)).length;
   const waiting = state.fields.waiting ?? '?';
   return (
-    ` Of ${engines.length} engines ${usable} could be used, ${waiting} generations waited.` +
+    ` Of ${engines.length} engines ${usable} were usable, ${waiting} generations were queued.` +
     (evacuated === 0 ? '' : ` ${evacuated} are in an evacuated data centre.`) +
-    (cold === 0 ? '' : ` ${cold} were cold and got no more than they tolerate.`)
+    (cold === 0 ? '' : ` ${cold} were cold and received no more load than a cold engine accepts.`)
   );
 }
 
@@ -44,13 +44,15 @@
   const crashLines = lines.filter((line) => line.event === 'crashHeld');
   const crashes = crashLines.map(
     ({ fields, process, time }) =>
-      `${fields.upstream ?? '?'} (found by ${process} at ${time}, ${fields.sign ?? '?'})`,
+      `${fields.upstream ?? '?'} (detected by ${process} at ${time}, ${fields.sign ?? '?'})`,
   );
   const quarantinedAt = lines.find((line) => line.event === 'quarantined')?.time;
   const crashList = crashes.length === 0 ? 'none of these logs contains their records' : crashes.join(', ');
   const when = quarantinedAt === undefined ? '' : ` Quarantined at ${quarantinedAt}.`;
-  const ownRun = ran ? 'It had run before; it was not sent on.' : 'It was turned away; nothing ran.';
-  return `Upstreams have ended under the same content: ${crashList}.${when} ${ownRun}`;
+  const ownRun = ran
+    ? 'The request had run before; it was not sent again.'
+    : 'The request was rejected; nothing ran.';
+  return `Upstreams crashed while they ran requests with the same content: ${crashList}.${when} ${ownRun}`;
 }
 
 function describeRefusal(lines: Lines, refusal: logLine.LogLine): string {
@@ -74,11 +76,11 @@
     const upstream = fields.upstream ?? '?';
     switch (event) {
       case 'upstreamPaused':
-        return [`${upstream} asked for a pause of ${formatSeconds(fields.for)} at ${time}`];
+        return [`${upstream} requested a pause of ${formatSeconds(fields.for)} at ${time}`];
       case 'upstreamRateLimited':
-        return [`${upstream} named a limit of ${fields.perSecond ?? '?'} a second at ${time}`];
+        return [`${upstream} set a rate limit of ${fields.perSecond ?? '?'} requests per second at ${time}`];
       case 'upstreamRateLimitLifted':
-        return [`${upstream} named no limit any more at ${time}`];
+        return [`${upstream} removed its rate limit at ${time}`];
       default:
         return [];
     }
@@ -95,25 +97,25 @@
   const earlierRefusal =
     retry === undefined
       ? ''
-      : ` It had been refused before, ${formatSeconds(retry.fields.firstAsked)} earlier.`;
-  return `No engine had a place within ${formatSeconds(end.fields.milliseconds)}; nothing ran.${earlierRefusal}${describeLoad(lines)}`;
+      : ` The caller had already been refused, ${formatSeconds(retry.fields.firstAsked)} earlier.`;
+  return `No engine could accept the request within ${formatSeconds(end.fields.milliseconds)}; nothing ran.${earlierRefusal}${describeLoad(lines)}`;
 }
 
 function describeMoves(lines: Lines): string {
   const moves = lines.filter((line) => line.event === 'moveResult');
   if (moves.length === 0) {
-    return 'no move off it was begun';
+    return 'no move to another engine was started';
   }
   const results = moves.map(
     ({ fields }) => `${fields.state ?? '?'}${fields.reason === undefined ? '' : ` (${fields.reason})`}`,
   );
-  return `moves off it: ${results.join(', ')}`;
+  return `moves to other engines: ${results.join(', ')}`;
 }
 
 function describeInterruption(lines: Lines, end: logLine.LogLine): string {
   const brokenStream = lastLineOf(lines, 'streamBroken');
   if (brokenStream === undefined) {
-    return `The stream was ended: ${end.fields.reason ?? 'no reason logged'}.`;
+    return `The stream was interrupted: ${end.fields.reason ?? 'no reason logged'}.`;
   }
   const engine = brokenStream.fields.upstream ?? '?';
   const terminationNotice = lines.find(
@@ -124,9 +126,9 @@
         line.fields.change === 'leaving'),
   );
   if (terminationNotice === undefined) {
-    return `Engine ${engine} broke off without notice after event ${brokenStream.fields.lastEvent ?? 'none'} (${brokenStream.fields.reason ?? '?'}).`;
+    return `The stream from engine ${engine} was interrupted without a termination notice after event ${brokenStream.fields.lastEvent ?? 'none'} (${brokenStream.fields.reason ?? '?'}).`;
   }
-  return `Engine ${engine} gave notice at ${terminationNotice.time} and was gone at ${brokenStream.time}; ${describeMoves(lines)}.`;
+  return `Engine ${engine} sent a termination notice at ${terminationNotice.time} and its stream was interrupted at ${brokenStream.time}; ${describeMoves(lines)}.`;
 }
 
 function describeAnswer(lines: Lines, end: logLine.LogLine): string {
@@ -135,7 +137,7 @@
     return `Answered with status ${fields.status ?? '?'} by ${fields.upstream ?? '?'} in ${formatSeconds(fields.milliseconds)}.`;
   }
   const waited = lastLineOf(lines, 'placed')?.fields.waited;
-  return `Answered by ${fields.upstream ?? '?'}: first event after ${formatSeconds(fields.firstEvent)}, of which ${formatSeconds(waited)} waiting for a place; longest pause ${formatSeconds(fields.longestPause)}, ${fields.moves ?? '0'} moves.`;
+  return `Answered by ${fields.upstream ?? '?'}: first event after ${formatSeconds(fields.firstEvent)}, of which ${formatSeconds(waited)} waiting for placement; longest pause ${formatSeconds(fields.longestPause)}, ${fields.moves ?? '0'} moves.`;
 }
 
 const OTHER_OUTCOMES: Readonly<Record<string, string>> = {
@@ -184,5 +186,5 @@
   if (outcome === 'interrupted') {
     return describeInterruption(lines, end);
   }
-  return OTHER_OUTCOMES[outcome] ?? `It ended as ${outcome}: ${end.fields.reason ?? 'no reason logged'}.`;
+  return OTHER_OUTCOMES[outcome] ?? `Outcome ${outcome}: ${end.fields.reason ?? 'no reason logged'}.`;
 }
--- a/packages/command/src/ledger/requestEnding.ts
+++ b/packages/command/src/ledger/requestEnding.ts
@@ -95,10 +95,10 @@
     return { ending: 'failed', cause: `the upstream answered ${status}` };
   }
   if (Number(fields.firstEvent ?? 0) > thresholds.firstEvent) {
-    return { ending: 'late', cause: 'the first event came late' };
+    return { ending: 'late', cause: 'time to the first event above the threshold' };
   }
   if (Number(fields.longestPause ?? 0) > thresholds.pause) {
-    return { ending: 'late', cause: 'a pause between two events' };
+    return { ending: 'late', cause: 'pause between two events above the threshold' };
   }
   return { ending: 'answered', cause: '' };
 }
@@ -153,5 +153,5 @@
   const base = { request, service, rank: '', second: startSecond(placed.time, 0) };
   return restartedAt === undefined
     ? { ...base, ending: 'open', cause: '' }
-    : { ...base, ending: 'lost', cause: 'its entry ended' };
+    : { ...base, ending: 'lost', cause: 'its entry restarted' };
 }
