--- a/packages/kumquatfront/src/adapters/httpMessages.ts
+++ b/packages/kumquatfront/src/adapters/httpMessages.ts
@@ -174,7 +174,7 @@
  * @param refusal - the refusal
  * @example
  * ```ts
- * httpMessages.sendRefusal(response, refusals.unknownKey);
+ * httpMessages.sendRefusal(response, refusals.unknownBearerKey);
  * ```
  */
 export function sendRefusal(response: http.ServerResponse, refusal: streams.Refusal): void {
